--- a/crates/ochrelead-node/src/coordinator_watch.rs
+++ b/crates/ochrelead-node/src/coordinator_watch.rs
@@ -1,10 +1,11 @@
-//! The subscription to the coordinator: connects, follows events from the last known index, and requests them again when
-//! the connection fails, falls silent or may have missed some. It only returns what is to be done.
+//! The subscription to the coordinator (service discovery): connects, subscribes to the events after the last known
+//! index, and requests them again when the connection fails, falls silent or may have missed events. It does no I/O:
+//! the host polls the actions and performs them.
 //!
-//! A coordinator that is silent or slow can't be told from one that is about to answer. So while no connection is live,
-//! the events are requested again and again on further connections, and earlier ones are kept: whichever is answered
-//! first brings them. The same holds for a connection on which a line can't be read: it is read on. A line that can be
-//! used closes all older connections.
+//! A silent coordinator can't be distinguished from one that is about to answer. While no connection is live, the
+//! events are therefore requested on further connections at intervals, and the earlier connections stay open: the first
+//! one that is answered delivers the events. A connection with an unreadable line stays open as well, and its later
+//! lines are read. A connection that delivers a valid line with nothing missing closes all older ones.
 
 mod connection;
 
@@ -19,22 +20,22 @@
 use crate::io::{WatchAction, WatchId};
 use connection::{EventGap, WatchConnection};
 
-/// The resolution of a front's own share of a retry delay.
+/// Number of distinct jitter factors that a seed can select.
 const JITTER_STEPS: u64 = 1 << 10;
-/// The most bytes of an unreadable line that are logged.
-const LOGGED_LINE_LENGTH: usize = 120;
-/// The retry delay doubles at most so often.
+/// At most this many bytes of an unreadable line are logged.
+const MAX_LOGGED_LINE_BYTES: usize = 120;
+/// Limits the exponential back-off after announced events that did not arrive.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// What to subscribe to, and how.
+/// The address, start position and timing of the subscription.
 pub(crate) struct WatchConfig {
     pub(crate) coordinator: Option<SocketAddr>,
-    /// What is known of the events so far.
+    /// The position in the event sequence: events after it are requested.
     pub(crate) event_cursor: EventCursor,
     pub(crate) connect_timeout: Span,
-    /// How long a draining server may still be sent something new: news must not take longer than that.
+    /// How long new calls may still reach a draining server. Events have to arrive within this time.
     pub(crate) drain_grace: Option<Span>,
-    /// Determines the front's own share of a retry delay.
+    /// Selects this front's jitter factor.
     pub(crate) seed: u64,
 }
 
@@ -42,22 +43,23 @@
 pub(crate) struct CoordinatorWatch {
     coordinator: Option<SocketAddr>,
     event_cursor: EventCursor,
-    /// The oldest first.
+    /// In the order in which they were opened, oldest first.
     connections: Vec<WatchConnection>,
     last_watch: WatchId,
-    /// No further connection is opened before.
+    /// No further connection is opened before this time.
     connect_at: Moment,
     connect_timeout: Span,
-    /// The delay between two requests, before jitter.
+    /// The delay between two requests, without jitter.
     retry_interval: Span,
-    /// Fronts that lose their coordinator together reconnect spread: each after its own share of a delay.
+    /// Factor from 0.5 to 1.5 on each delay. It differs between fronts, so that fronts that lose the coordinator at the
+    /// same time do not all reconnect at once.
     jitter: f64,
     last_requested_at: Moment,
-    /// Connections in a row on which events were announced that did not come.
+    /// Consecutive connections on which the coordinator announced events and did not deliver them.
     consecutive_announcements: u32,
-    /// Since when no connection has been live, as last logged; `None` where one was.
+    /// The start of the period without a live connection, as last logged; `None` if a connection was live.
     lost_since: Option<Moment>,
-    /// The events were requested so often since then.
+    /// Requests for events since `lost_since`.
     requests_since_lost: u32,
     actions: VecDeque<WatchAction>,
 }
@@ -82,29 +84,31 @@
         }
     }
 
-    /// The next action for the host.
+    /// Returns the next action for the host.
     pub(crate) fn poll_action(&mut self) -> Option<WatchAction> {
         self.actions.pop_front()
     }
 
-    /// The delay between two requests.
+    /// The delay between two requests, with jitter.
     fn retry_delay(&self) -> Span {
         self.retry_interval.scaled(self.jitter)
     }
 
-    /// The delay while announced events may still come on a connection that is read; it grows with each one in a row
-    /// on which they did not, for each costs a whole list.
+    /// How long to wait for announced events before they are requested on another connection. The delay doubles with
+    /// each consecutive connection that did not deliver them, because every request makes the coordinator send a full
+    /// list.
     fn announcement_delay(&self) -> Span {
         let delay = self.retry_interval * (1 << self.consecutive_announcements.min(MAX_DOUBLINGS));
         delay.min(protocol::WATCH_HEARTBEAT).scaled(self.jitter)
     }
 
-    /// The events are requested again, not sooner than a delay after the last time.
-    fn request_again(&mut self, now: Moment) {
+    /// Schedules another request for the events, at least one retry delay after the last request.
+    fn schedule_request(&mut self, now: Moment) {
         self.connect_at = now.max(self.last_requested_at + self.retry_delay());
     }
 
-    /// Follows the coordinator at another address; connections to the former are closed.
+    /// Follows the coordinator at a new address and closes the connections to the old one. Does nothing if the address
+    /// is unchanged and a connection is open.
     pub(crate) fn redirect(&mut self, address: SocketAddr, now: Moment) {
         let is_same = self.coordinator.replace(address) == Some(address);
         if is_same && !self.connections.is_empty() {
@@ -118,13 +122,14 @@
         self.log_liveness(now, "coordinator moved");
     }
 
-    /// Goes on after the events that are known from elsewhere; whether any of them is news.
+    /// Advances the position to that of events which were learned from another source. Returns whether that position is
+    /// later than the present one.
     pub(crate) fn catch_up(&mut self, known: EventCursor) -> bool {
-        let is_news = known.last_index() > self.event_cursor.last_index();
-        if is_news {
+        let is_later = known.last_index() > self.event_cursor.last_index();
+        if is_later {
             self.event_cursor = known;
         }
-        is_news
+        is_later
     }
 
     fn position(&self, watch: WatchId) -> Option<usize> {
@@ -144,21 +149,21 @@
         self.connections[position].on_connected(now);
         let line = self.event_cursor.request();
         self.requests_since_lost = self.requests_since_lost.saturating_add(1);
-        debug!(watch = watch.0, request = line.trim_end(), "coordinator connected");
+        debug!(watch = watch.0, request = line.trim_end(), "connected to the coordinator, requesting events");
         self.actions.push_back(WatchAction::Send { watch, line });
     }
 
-    /// The connection was closed or never established.
+    /// Handles a connection that was closed by the coordinator or could not be established.
     pub(crate) fn on_disconnected(&mut self, watch: WatchId, now: Moment) {
         let Some(position) = self.position(watch) else { return };
         self.connections.remove(position);
-        debug!(watch = watch.0, "coordinator connection ended");
-        self.request_again(now);
-        self.log_liveness(now, "connection ended");
+        debug!(watch = watch.0, "coordinator connection failed or closed by the coordinator");
+        self.schedule_request(now);
+        self.log_liveness(now, "connection lost");
     }
 
-    /// Reads what arrived. A line that can't be read is skipped: what it may have brought is requested again on another
-    /// connection.
+    /// Handles received bytes and returns the endpoint changes in them. An unreadable line is skipped, and the events
+    /// that it may have carried are requested again on another connection.
     pub(crate) fn on_data(&mut self, watch: WatchId, bytes: &[u8], now: Moment) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         let Some(position) = self.position(watch) else { return changes };
@@ -171,19 +176,19 @@
                         watch = watch.0,
                         index,
                         servers = change.endpoints.len(),
-                        "event of the coordinator"
+                        "received an event from the coordinator"
                     );
-                    self.on_complete(watch, now);
+                    self.on_up_to_date(watch, now);
                     changes.push(change);
                 }
-                Ok(EventOutcome::UpToDate) => self.on_complete(watch, now),
-                Ok(EventOutcome::Unchanged) => self.on_known(watch, now),
+                Ok(EventOutcome::UpToDate) => self.on_up_to_date(watch, now),
+                Ok(EventOutcome::Unchanged) => self.on_unchanged(watch, now),
                 Ok(EventOutcome::Behind) => self.on_gap(watch, EventGap::Announced, now),
                 Ok(EventOutcome::Gap) => self.on_gap(watch, EventGap::Skipped, now),
                 Err(error) => {
                     self.on_gap(watch, EventGap::Unreadable, now);
-                    let line = String::from_utf8_lossy(&line[..line.len().min(LOGGED_LINE_LENGTH)]);
-                    warn!(watch = watch.0, %error, ?line, "line of the coordinator not read");
+                    let line = String::from_utf8_lossy(&line[..line.len().min(MAX_LOGGED_LINE_BYTES)]);
+                    warn!(watch = watch.0, %error, ?line, "skipped an unreadable line from the coordinator");
                 }
             }
         }
@@ -191,26 +196,26 @@
             self.position(watch).is_some_and(|position| self.connections[position].is_unusable());
         if framing.is_err() || is_unusable {
             self.close(watch, "unreadable");
-            self.request_again(now);
+            self.schedule_request(now);
             self.log_liveness(now, "unreadable");
         }
         changes
     }
 
-    /// A connection has brought all events: older ones are not needed any more.
-    fn on_complete(&mut self, watch: WatchId, now: Moment) {
+    /// A connection has delivered all events: closes the older ones.
+    fn on_up_to_date(&mut self, watch: WatchId, now: Moment) {
         self.consecutive_announcements = 0;
         if let Some(position) = self.position(watch) {
-            self.connections[position].on_complete(now);
+            self.connections[position].on_up_to_date(now);
         }
         self.close_older(watch);
         self.log_liveness(now, "silent");
     }
 
-    /// A connection has brought what was known already.
-    fn on_known(&mut self, watch: WatchId, now: Moment) {
+    /// A connection has delivered only events that were known already: closes the older ones.
+    fn on_unchanged(&mut self, watch: WatchId, now: Moment) {
         if let Some(position) = self.position(watch) {
-            self.connections[position].on_known(now);
+            self.connections[position].on_unchanged(now);
         }
         self.close_older(watch);
         self.log_liveness(now, "silent");
@@ -222,8 +227,8 @@
         }
     }
 
-    /// The coordinator may have events that the connection has not brought. They are requested on another connection as
-    /// well; those that were announced may be on their way, and have a delay to come.
+    /// The coordinator may have events that the connection has not delivered. They are requested on another connection:
+    /// after the announcement delay if they were announced and may still arrive, else after the retry delay.
     fn on_gap(&mut self, watch: WatchId, gap: EventGap, now: Moment) {
         let Some(position) = self.position(watch) else { return };
         if self.connections[position].on_gap(gap) {
@@ -232,18 +237,18 @@
                     self.connect_at = self.connect_at.max(now + self.announcement_delay());
                     self.consecutive_announcements = self.consecutive_announcements.saturating_add(1);
                 }
-                EventGap::Skipped | EventGap::Unreadable => self.request_again(now),
+                EventGap::Skipped | EventGap::Unreadable => self.schedule_request(now),
             }
         }
         self.log_liveness(now, gap.reason());
     }
 
-    /// Closes what is overdue, and opens a further connection where none is live.
+    /// Closes the connections that have timed out, and opens a further one if none is live and the delay is over.
     pub(crate) fn process(&mut self, now: Moment) {
         let connect_timeout = self.connect_timeout;
-        let is_overdue = |connection: &&WatchConnection| connection.expires_at(connect_timeout) <= now;
-        while let Some(overdue) = self.connections.iter().find(is_overdue) {
-            self.close(overdue.watch, "no answer");
+        let has_expired = |connection: &&WatchConnection| connection.expires_at(connect_timeout) <= now;
+        while let Some(expired) = self.connections.iter().find(has_expired) {
+            self.close(expired.watch, "no answer");
         }
         self.log_liveness(now, "silent");
         if self.is_live(now) || self.connect_at > now {
@@ -261,8 +266,9 @@
         self.actions.push_back(WatchAction::Connect { watch: self.last_watch, address });
     }
 
-    /// The connection that is the least missed: the ages of the others are spread, so that one is old enough for an answer
-    /// however slow the coordinator is, and one is young.
+    /// The connection to replace when the limit is reached: the one whose neighbours by age are closest to each other,
+    /// relative to their age. The ages of the rest stay spread, so that one connection is old enough for a slow
+    /// coordinator to answer, and another one is recent.
     fn most_redundant(&self, now: Moment) -> WatchId {
         let relative_gap = |neighbours: &[WatchConnection]| {
             let [older, .., younger] = neighbours else { return f64::INFINITY };
@@ -275,7 +281,7 @@
         closest.map_or(WatchId(0), |neighbours| neighbours[1].watch)
     }
 
-    /// Until when a connection is taken for complete, as far as is known now.
+    /// Until when a connection counts as live if nothing more arrives; `None` if none does.
     fn live_until(&self) -> Option<Moment> {
         self.connections.iter().filter_map(|connection| connection.live_until(self.retry_interval)).max()
     }
@@ -284,6 +290,7 @@
         self.live_until().is_some_and(|until| now < until)
     }
 
+    /// Logs the transitions between having a live connection and having none.
     fn log_liveness(&mut self, now: Moment, reason: &'static str) {
         let Some(coordinator) = self.coordinator else { return };
         let index = self.event_cursor.last_index();
@@ -302,6 +309,7 @@
         }
     }
 
+    /// When [`CoordinatorWatch::process`] is due even if nothing arrives.
     pub(crate) fn poll_timeout(&self) -> Option<Moment> {
         self.coordinator?;
         let connect_at = self.live_until().map_or(self.connect_at, |until| until.max(self.connect_at));
--- a/crates/ochrelead-node/src/coordinator_watch/connection.rs
+++ b/crates/ochrelead-node/src/coordinator_watch/connection.rs
@@ -8,21 +8,21 @@
 use crate::bounds::protocol;
 use crate::io::WatchId;
 
-/// A connection with more unreadable lines in a row is closed.
+/// A connection with more consecutive unreadable lines than this is closed.
 const MAX_UNREADABLE_LINES: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Connecting,
-    /// The events were requested; nothing has been answered.
+    /// The events were requested; no answer has arrived.
     Requested {
         since: Moment,
     },
-    /// It has brought lines, and every event of which is known.
+    /// Lines have arrived, and no known event is missing.
     Following {
         last_heard: Moment,
     },
-    /// The coordinator has, or may have, events that it has not brought. Later ones are still read.
+    /// The coordinator has, or may have, events that it did not deliver here. Later lines are still read.
     Incomplete {
         gap: EventGap,
         last_complete: Moment,
@@ -32,18 +32,18 @@
 /// Why events may be missing on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EventGap {
-    /// A later number came without its events; they may be on their way.
+    /// The coordinator reported a later index than that of the last event; the events may still arrive.
     Announced,
-    /// A later event came than the next.
+    /// An event arrived whose index is not the next one.
     Skipped,
-    /// A line could not be read: it may have been an event.
+    /// A line could not be read; it may have been an event.
     Unreadable,
 }
 
 impl EventGap {
     pub(super) fn reason(self) -> &'static str {
         match self {
-            EventGap::Announced => "events announced that have not come",
+            EventGap::Announced => "announced events not received",
             EventGap::Skipped => "event missing",
             EventGap::Unreadable => "unreadable line",
         }
@@ -56,9 +56,9 @@
     pub(super) opened_at: Moment,
     state: State,
     line_splitter: LineSplitter,
-    /// Since when the line that arrives last has been without its end.
+    /// When the unterminated last line began to arrive; `None` if all received lines are complete.
     partial_since: Option<Moment>,
-    /// Unreadable lines since the last one that could be read.
+    /// Consecutive unreadable lines since the last readable one.
     unreadable_lines: usize,
 }
 
@@ -78,51 +78,51 @@
         self.state = State::Requested { since: now };
     }
 
-    /// The lines that these bytes complete.
+    /// Adds received bytes and returns the lines that they complete.
     pub(super) fn push(&mut self, bytes: &[u8], now: Moment) -> (VecDeque<Vec<u8>>, Result<(), LineTooLong>) {
         let (lines, framing) = self.line_splitter.push(bytes);
         let is_same_line = lines.is_empty();
-        let began = self.partial_since.filter(|_| is_same_line).unwrap_or(now);
-        self.partial_since = self.line_splitter.has_partial_line().then_some(began);
+        let started = self.partial_since.filter(|_| is_same_line).unwrap_or(now);
+        self.partial_since = self.line_splitter.has_partial_line().then_some(started);
         (lines, framing)
     }
 
-    /// It has brought what shows that no event is missing on it. A line that trickles in and never ends counts as
-    /// silence.
-    pub(super) fn on_complete(&mut self, now: Moment) {
+    /// A line has shown that no event is missing on this connection. Only complete lines count: a line that arrives
+    /// byte by byte and never ends is treated as silence.
+    pub(super) fn on_up_to_date(&mut self, now: Moment) {
         self.unreadable_lines = 0;
         self.state = State::Following { last_heard: now };
     }
 
-    /// It has brought what was known already; that does not fill a gap.
-    pub(super) fn on_known(&mut self, now: Moment) {
+    /// An event arrived that was known already. It does not fill a gap.
+    pub(super) fn on_unchanged(&mut self, now: Moment) {
         self.unreadable_lines = 0;
         if !matches!(self.state, State::Incomplete { .. }) {
             self.state = State::Following { last_heard: now };
         }
     }
 
-    /// Events may be missing on it; whether that is news.
+    /// Events may be missing on this connection. Returns whether the gap, or its kind, is new.
     pub(super) fn on_gap(&mut self, gap: EventGap) -> bool {
         self.unreadable_lines = if gap == EventGap::Unreadable { self.unreadable_lines + 1 } else { 0 };
-        let (last_complete, is_news) = match self.state {
-            // Events that are lost on it do not come on it once they are announced.
+        let (last_complete, is_new_gap) = match self.state {
+            // Events that were lost on this connection do not arrive on it after an announcement either.
             State::Incomplete { .. } if gap == EventGap::Announced => return false,
-            State::Incomplete { gap: former, last_complete } => (last_complete, former != gap),
+            State::Incomplete { gap: previous, last_complete } => (last_complete, previous != gap),
             State::Following { last_heard } => (last_heard, true),
             State::Connecting | State::Requested { .. } => (self.opened_at, true),
         };
         self.state = State::Incomplete { gap, last_complete };
-        is_news
+        is_new_gap
     }
 
-    /// Whether it brings nothing but noise.
+    /// Whether too many consecutive lines were unreadable.
     pub(super) fn is_unusable(&self) -> bool {
         self.unreadable_lines > MAX_UNREADABLE_LINES
     }
 
-    /// Until when the events on it are taken for complete, if a line takes no longer than `line_timeout`; `None` where
-    /// they are not.
+    /// Until when the connection counts as live: until the silence threshold, or until a partial line has taken
+    /// `line_timeout`, whichever comes first. `None` if it isn't connected or events may be missing on it.
     pub(super) fn live_until(&self, line_timeout: Span) -> Option<Moment> {
         match self.state {
             State::Following { last_heard } => {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// When it is given up.
+    /// When the connection times out.
     pub(super) fn expires_at(&self, connect_timeout: Span) -> Moment {
         match self.state {
             State::Connecting => self.opened_at + connect_timeout,
