--- a/crates/ochrelead-node/src/coordination.rs
+++ b/crates/ochrelead-node/src/coordination.rs
@@ -1,11 +1,11 @@
-//! The coordination of a front with the others of its fleet: gossip, leases, health checks and zones behind one engine
-//! without I/O, so that any host can drive it. Off unless it is asked for.
+//! Coordination of a front with its peers: gossip, leases, health checks and zones behind one engine without I/O, so
+//! that any host can drive it. Optional: a node without it runs alone.
 //!
-//! - `transport`: the addresses of the fronts, and which of them a datagram goes to.
-//! - [`crate::health_check`]: which silent servers this front probes, under leases.
-//! - `pending_persistence`: messages of a voter wait until its state is on disk.
-//! - `zones`: leaving and re-entering a zone as one fleet.
-//! - `status`: what an operator reads.
+//! - `transport`: maps the recipient of a message to the addresses of fronts.
+//! - [`crate::health_check`]: decides which silent servers this front probes, under leases.
+//! - `pending_persistence`: holds a voter's messages back until its state is on disk.
+//! - `zones`: takes traffic out of a failing zone and returns it, in agreement with the other fronts.
+//! - `status`: formats the status and the metrics for operators.
 
 mod pending_persistence;
 mod status;
@@ -37,56 +37,56 @@
 pub use zones::ZoneSettings;
 
 const LEASE_DURATION: Span = Span::from_secs(4);
-/// The servers' activity is looked at this often.
+/// How often the servers' activity is read.
 const SERVER_UPDATE_INTERVAL: Span = Span::from_millis(100);
-/// The status is written, and logged, this often.
+/// How often the status is written and logged.
 const STATUS_INTERVAL: Span = Span::from_secs(1);
 
-/// An action of the node on behalf of the fleet.
+/// An action that the node performs on behalf of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetAction {
-    /// Send a health check now.
+    /// Send a health check to a server now.
     CheckHealth {
         /// The server's id.
         server: String,
-        /// The token under which it is sent.
+        /// The fencing token that the health check carries.
         token: FencingToken,
     },
-    /// Note that another front has heard a server.
+    /// Record that a peer has received a message from a server.
     NoteHeardByPeer {
         /// The server's id.
         server: String,
-        /// When that was.
+        /// When the peer received it.
         heard_at: Moment,
     },
 }
 
-/// Who coordinates.
+/// The fronts that coordinate, and the identity of this one.
 pub struct CoordinationConfig {
-    /// Where the datagrams for this front arrive.
+    /// The address at which this front receives datagrams.
     pub local_address: SocketAddr,
-    /// The addresses of all fronts, by their numbers.
+    /// The addresses of all fronts, indexed by front number.
     pub addresses: Vec<SocketAddr>,
-    /// This front's number; by its address where it is not given.
+    /// This front's number; if `None`, the index of `local_address` in `addresses`.
     pub front: Option<u32>,
-    /// Who votes on leases.
+    /// The fronts that vote on leases.
     pub electorate: Electorate,
-    /// Seeds what is drawn at random.
+    /// The seed of the random number generators.
     pub seed: u64,
 }
 
-/// One front's part in the coordination.
+/// The coordination engine of one front.
 pub struct FleetCoordination {
     transport: Transport,
     gossip: GossipEngine,
     leases: LeaseEngine,
     health_checks: HealthCheckScheduler,
     zones: Option<Zones>,
-    /// It takes no part in leases and does not probe its peers: zones alone.
+    /// Only the zones are active: no leases, and no gossip probes of peers.
     is_zones_only: bool,
     persistence: Option<PendingPersistence>,
     actions: VecDeque<FleetAction>,
-    /// The servers' activity as of the last update.
+    /// The servers' activity at the last update.
     activity: Vec<ServerActivity>,
     next_update_at: Moment,
     next_log_at: Moment,
@@ -94,14 +94,14 @@
 }
 
 impl FleetCoordination {
-    /// This front's part; `None` where it is not among the fronts, or alone.
+    /// Creates the engine. Returns `None` if this front is not among the listed fronts, or is the only one.
     pub fn new(config: CoordinationConfig, now: Moment) -> Option<FleetCoordination> {
         let CoordinationConfig { local_address, addresses, front, electorate, seed } = config;
         let fleet_size = u32::try_from(addresses.len()).ok()?;
-        let listed = || addresses.iter().position(|address| *address == local_address);
+        let listed_index = || addresses.iter().position(|address| *address == local_address);
         let front = match front {
             Some(front) => front,
-            None => u32::try_from(listed()?).ok()?,
+            None => u32::try_from(listed_index()?).ok()?,
         };
         if front >= fleet_size || fleet_size < 2 {
             return None;
@@ -126,64 +126,67 @@
         })
     }
 
-    /// Acts with the other fronts of its zone where zones fail. To be called right after the start.
+    /// Enables zones: this front reacts to a failing zone together with the other fronts of its own zone. Must be
+    /// called before the first input.
     pub fn enable_zones(&mut self, settings: ZoneSettings, now: Moment) {
         self.transport.set_broadcast_address(settings.broadcast_address);
         self.zones = Some(Zones::new(self.leases.local(), settings, now));
     }
 
-    /// Takes no part in leases and does not probe its peers: zones do not need to know who is alive.
+    /// Disables leases and gossip probes of peers. Zones do not need to know which peers are alive.
     pub fn set_zones_only(&mut self) {
         self.is_zones_only = true;
         self.gossip.set_passive();
     }
 
-    /// Persists this voter's state from its start on; `stored` is what a former process has left, where it is usable.
+    /// Persists this voter's state. `stored` is the state that a previous process has written, if it is readable. Must
+    /// be called before the first input, because it replaces the lease engine.
     pub fn enable_persistence(&mut self, stored: Option<&PersistedState>, seed: u64, now: Moment) {
         let config = lease_config(self.leases.local(), self.leases.electorate().clone(), seed);
         self.leases = LeaseEngine::new(config, stored, now);
         self.persistence = Some(PendingPersistence::default());
     }
 
-    /// The number of this front.
+    /// This front's number.
     pub fn local_front(&self) -> u32 {
         self.leases.local().front
     }
 
     // ---- Inputs ----
 
-    /// A datagram arrived; one from an address that is not listed is ignored.
+    /// Handles a received datagram. Datagrams from addresses that are not listed are ignored.
     pub fn handle_input(&mut self, now: Moment, sender: SocketAddr, bytes: &[u8]) {
         if let Some(front) = self.transport.front(sender) {
             self.gossip.handle_input(now, front, bytes);
         }
     }
 
-    /// A server refused an act, for it has seen a higher token.
+    /// Handles a server's refusal of an operation because it has seen a higher fencing token.
     pub fn on_fenced(&mut self, now: Moment, server: &str, highest: FencingToken) {
         self.leases.on_fenced(now, health_check::task_id(server), highest);
     }
 
-    /// Whether it needs observations.
+    /// Whether [`FleetCoordination::on_observation`] has to be called: only if zones are enabled.
     pub fn wants_observations(&self) -> bool {
         self.zones.is_some()
     }
 
-    /// The engine observed something at a server.
+    /// Handles an observation that the call engine made of a server.
     pub fn on_observation(&mut self, now: Moment, observation: Observation) {
         if let Some(zones) = &mut self.zones {
             zones.on_observation(now, observation);
         }
     }
 
-    /// A voter state is on disk.
+    /// Records that the voter state with this sequence number, and all earlier ones, are on disk.
     pub fn on_persisted(&mut self, sequence: u64) {
         if let Some(persistence) = &mut self.persistence {
             persistence.on_persisted(sequence);
         }
     }
 
-    /// Looks at the servers, at most every tenth of a second: `report` is called only when that is due.
+    /// Updates the servers' activity and locations, at most once per `SERVER_UPDATE_INTERVAL`. `report` is called only
+    /// if an update is due.
     pub fn update_servers(&mut self, now: Moment, report: impl FnOnce() -> ServerReport) {
         if now < self.next_update_at {
             return;
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Leaves service: leases are released, and the other fronts of the zone are notified.
+    /// Takes this front out of service: releases its leases and notifies the other fronts of its zone.
     pub fn leave(&mut self, now: Moment) {
         self.leases.leave(now);
         if let Some(zones) = &mut self.zones {
@@ -207,9 +210,9 @@
         }
     }
 
-    // ---- Progress ----
+    // ---- Processing ----
 
-    /// Does everything that is due.
+    /// Delivers received messages to the engines and runs everything that is due.
     pub fn process(&mut self, now: Moment) {
         while let Some(received) = self.gossip.poll_lease_message() {
             if let Some(message) = codec::decode(&received.payload) {
@@ -237,7 +240,7 @@
         self.log_status(now);
     }
 
-    /// Publishes responses of probed servers, and requests the checks that are due.
+    /// Publishes that probed servers have responded, and queues the health checks that are due.
     fn check_health(&mut self, now: Moment) {
         for task in self.health_checks.poll_responses(&self.activity) {
             let id = RumorId { topic: health_check::RUMOR_TOPIC, key: task.0 };
@@ -245,7 +248,7 @@
         }
         let live = self.gossip.members().not_dead();
         for check in self.health_checks.process(now, &self.activity, &live, &mut self.leases) {
-            // Asked for right before the act.
+            // The lease is checked immediately before it is used.
             if let Some(permit) = self.leases.permit(now, check.task) {
                 self.actions
                     .push_back(FleetAction::CheckHealth { server: check.server, token: permit.token });
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Another front published that a server has responded to it.
+    /// Handles a rumor that a server has responded to another front's health check.
     fn on_response_rumor(&mut self, now: Moment, id: RumorId) {
         let Some(rumor) = self.gossip.rumor(now, id) else { return };
         let heard_at = Moment::from_micros(now.micros().saturating_sub(rumor.age.micros()));
@@ -265,7 +268,7 @@
         }
     }
 
-    /// Sends messages about leases; where a voter's state is persisted, not before it is.
+    /// Sends lease messages. If the voter's state is persisted, a message is sent only once that state is on disk.
     fn send_lease_messages(&mut self) {
         let Some(persistence) = &mut self.persistence else {
             while let Some(transmit) = self.leases.poll_output() {
@@ -277,7 +280,7 @@
             persistence.update(voter.persisted_state());
         }
         while let Some(transmit) = self.leases.poll_output() {
-            persistence.hold_back(transmit);
+            persistence.enqueue(transmit);
         }
         while let Some(transmit) = persistence.poll_sendable() {
             self.gossip.send_lease_message(transmit.recipient, codec::encode(&transmit.message));
@@ -286,28 +289,30 @@
 
     // ---- Outputs ----
 
-    /// The next datagram to send.
+    /// Returns the next datagram to send.
     pub fn poll_output(&mut self) -> Option<OutboundDatagram> {
         self.transport.poll_copy().or_else(|| self.transport.route(self.gossip.poll_output()?))
     }
 
-    /// The next action on behalf of the fleet.
+    /// Returns the next action on behalf of the fleet.
     pub fn poll_action(&mut self) -> Option<FleetAction> {
         self.actions.pop_front()
     }
 
-    /// The voter state to persist next; messages wait until [`FleetCoordination::on_persisted`] reports it.
+    /// Returns the voter state to persist next. Messages that depend on it wait until
+    /// [`FleetCoordination::on_persisted`] is called with its sequence number.
     pub fn poll_voter_state(&mut self) -> Option<VoterState> {
         let front = self.local_front();
         self.persistence.as_mut()?.poll_state(front)
     }
 
-    /// The shares of the zones that take less than all, where they have changed since the last call.
+    /// Returns the traffic shares of the zones whose share is reduced (below 1), if they have changed since the last
+    /// call.
     pub fn poll_traffic_shares(&mut self, now: Moment) -> Option<Vec<TrafficShare>> {
         self.zones.as_mut()?.poll_traffic_shares(now)
     }
 
-    /// The status and the counters, once a second.
+    /// Returns the status and the metrics, at most once per `STATUS_INTERVAL`.
     pub fn poll_status(&mut self, now: Moment) -> Option<StatusReport> {
         if now < self.next_status_at {
             return None;
@@ -324,12 +329,12 @@
         timeouts.into_iter().flatten().min()
     }
 
-    /// The token under which this front may act on a server, if it may.
+    /// The fencing token of this front's lease on a server; `None` if it holds none.
     pub fn held_token(&self, now: Moment, server: &str) -> Option<FencingToken> {
         self.leases.permit(now, health_check::task_id(server)).map(|permit| permit.token)
     }
 
-    /// The engine of the zones, where they are enabled.
+    /// The zone engine; `None` if zones are not enabled.
     pub fn zone_engine(&self) -> Option<&ZoneEngine> {
         self.zones.as_ref().map(Zones::engine)
     }
@@ -355,7 +360,8 @@
     }
 }
 
-/// The milliseconds of the start, which wrap after weeks: no two incarnations of a front are alike. 0 is none.
+/// The start time in milliseconds, truncated to 32 bits, so that successive incarnations of a front differ. It wraps
+/// after about seven weeks. 0 is reserved for "none".
 fn incarnation(now: Moment) -> u32 {
     ((now.micros() / 1_000) as u32).max(1)
 }
--- a/crates/ochrelead-node/src/coordination/pending_persistence.rs
+++ b/crates/ochrelead-node/src/coordination/pending_persistence.rs
@@ -1,4 +1,4 @@
-//! Messages of a voter that wait until its state is on disk: a promise that a restart could forget is not sent.
+//! Holds a voter's messages back until its state is on disk, so that no promise is sent that a restart could lose.
 
 use std::collections::VecDeque;
 
@@ -7,31 +7,34 @@
 
 use crate::persistence::VoterState;
 
-/// Messages that may wait. On a disk that fails for long the oldest are dropped: they are of no use any more.
-const MAX_HELD_BACK: usize = 256;
+/// The maximum number of waiting messages. If the disk fails for long, the oldest are dropped: they are obsolete by
+/// then.
+const MAX_PENDING_MESSAGES: usize = 256;
 
-/// A message that waits until the state of a sequence number is on disk.
-struct HeldBack {
+/// A message that waits for a state to be persisted.
+struct PendingMessage {
+    /// The sequence number of that state.
     sequence: u64,
     transmit: Transmit,
 }
 
-/// A voter's state on its way to the disk, and the messages that depend on it.
+/// The latest state of a voter, and the messages that wait for it to be persisted.
 #[derive(Default)]
 pub(super) struct PendingPersistence {
-    /// The newest state.
+    /// The latest state.
     state: PersistedState,
-    /// Its sequence number.
+    /// The sequence number of `state`.
     sequence: u64,
-    /// Whether it has not been handed out yet.
+    /// `state` has not been returned by `poll_state` yet.
     is_unpolled: bool,
     /// The highest sequence number that is on disk.
-    persisted: u64,
-    held_back: VecDeque<HeldBack>,
+    persisted_sequence: u64,
+    /// In the order in which they are sent.
+    messages: VecDeque<PendingMessage>,
 }
 
 impl PendingPersistence {
-    /// Takes the voter's state, where it has changed.
+    /// Updates the state, with the next sequence number if it has changed.
     pub(super) fn update(&mut self, state: PersistedState) {
         if state != self.state {
             self.state = state;
@@ -40,20 +43,22 @@
         }
     }
 
-    pub(super) fn hold_back(&mut self, transmit: Transmit) {
-        if self.held_back.len() >= MAX_HELD_BACK {
-            self.held_back.pop_front();
+    /// Queues a message until the current state is on disk.
+    pub(super) fn enqueue(&mut self, transmit: Transmit) {
+        if self.messages.len() >= MAX_PENDING_MESSAGES {
+            self.messages.pop_front();
         }
-        self.held_back.push_back(HeldBack { sequence: self.sequence, transmit });
+        self.messages.push_back(PendingMessage { sequence: self.sequence, transmit });
     }
 
-    /// The next message whose state is on disk.
+    /// Returns the next message whose state is on disk.
     pub(super) fn poll_sendable(&mut self) -> Option<Transmit> {
-        let is_sendable = self.held_back.front().is_some_and(|held| held.sequence <= self.persisted);
-        if is_sendable { self.held_back.pop_front().map(|held| held.transmit) } else { None }
+        let is_sendable =
+            self.messages.front().is_some_and(|message| message.sequence <= self.persisted_sequence);
+        if is_sendable { self.messages.pop_front().map(|message| message.transmit) } else { None }
     }
 
-    /// The newest state, where it has not been handed out yet.
+    /// Returns the latest state, if it has not been returned yet.
     pub(super) fn poll_state(&mut self, front: u32) -> Option<VoterState> {
         if !std::mem::take(&mut self.is_unpolled) {
             return None;
@@ -62,6 +67,6 @@
     }
 
     pub(super) fn on_persisted(&mut self, sequence: u64) {
-        self.persisted = self.persisted.max(sequence);
+        self.persisted_sequence = self.persisted_sequence.max(sequence);
     }
 }
--- a/crates/ochrelead-node/src/coordination/status.rs
+++ b/crates/ochrelead-node/src/coordination/status.rs
@@ -1,4 +1,5 @@
-//! What an operator reads of the coordination. The text and the names of metrics are read by machines: they stay.
+//! The status text and the metrics of the coordination. Both are parsed by tools, so that the text and the names are a
+//! stable interface.
 
 use std::fmt::Write;
 
@@ -16,7 +17,7 @@
 use crate::observation::ServerActivity;
 use crate::persistence::StatusReport;
 
-/// The parts whose status is shown.
+/// The components whose status is reported.
 pub(super) struct StatusSource<'a> {
     pub(super) gossip: &'a GossipEngine,
     pub(super) leases: &'a LeaseEngine,
@@ -27,12 +28,12 @@
 
 impl StatusSource<'_> {
     pub(super) fn report(&self, now: Moment) -> StatusReport {
-        let written = format!("written_us: {}\n", now.micros());
-        let status = self.lines(now).iter().fold(written, |text, line| text + line + "\n");
+        let header = format!("written_us: {}\n", now.micros());
+        let status = self.lines(now).iter().fold(header, |text, line| text + line + "\n");
         StatusReport { status, counters: self.counters(now) }
     }
 
-    /// The status of the fleet, the zones and each lease, a line each.
+    /// Returns a line for the fleet, the lines of the zones, and a line for each lease.
     pub(super) fn lines(&self, now: Moment) -> Vec<String> {
         let zones = self.zones.map_or_else(Vec::new, |zones| zones.status_lines(now));
         if self.is_zones_only {
@@ -65,7 +66,7 @@
     fn lease_line(&self, now: Moment, status: &LeaseStatus) -> String {
         let name = self.task_name(status.task);
         let mut line = format!("{name}: number {}", status.highest_token.counter);
-        // Writing to a string does not fail.
+        // Writing to a `String` can't fail.
         if let Some(lease) = &status.lease {
             let held = seconds(now.since(lease.acquired_at));
             let remaining = seconds(lease.expires_at.since(now));
@@ -91,10 +92,10 @@
         }
     }
 
-    /// The counters, in the text format of Prometheus.
+    /// Returns the metrics in the text format of Prometheus.
     fn counters(&self, now: Moment) -> String {
         let stats = self.gossip.stats();
-        let held = self.leases.status(now).iter().filter(|status| status.lease.is_some()).count();
+        let leases_held = self.leases.status(now).iter().filter(|status| status.lease.is_some()).count();
         let mut registry = Registry::default();
         for (name, help, count) in [
             ("datagrams_sent", "Datagrams sent to other fronts", stats.datagrams_sent),
@@ -112,10 +113,10 @@
             registry.register(format!("ochrelead_peers_{name}"), help, counter);
         }
         let gauge: Gauge = Gauge::default();
-        gauge.set(i64::try_from(held).unwrap_or(i64::MAX));
+        gauge.set(i64::try_from(leases_held).unwrap_or(i64::MAX));
         registry.register("ochrelead_leases_held", "Tasks that this front holds", gauge);
         let mut counters = String::new();
-        // Writing to a string does not fail.
+        // Writing to a `String` can't fail.
         let _ = encode(&mut counters, &registry);
         counters
     }
--- a/crates/ochrelead-node/src/coordination/transport.rs
+++ b/crates/ochrelead-node/src/coordination/transport.rs
@@ -1,4 +1,4 @@
-//! The addresses of the fronts, and the datagrams on their way to them.
+//! Maps the recipients of gossip datagrams to the addresses of fronts.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -8,9 +8,9 @@
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutboundDatagram {
-    /// Where it goes.
+    /// The address to send it to.
     pub destination: SocketAddr,
-    /// What it carries.
+    /// The payload.
     pub bytes: Vec<u8>,
 }
 
@@ -18,9 +18,9 @@
     local_front: usize,
     addresses: Vec<SocketAddr>,
     fronts: HashMap<SocketAddr, u32>,
-    /// Where one datagram reaches all fronts.
+    /// The address at which one datagram reaches all fronts, if there is one.
     broadcast_address: Option<SocketAddr>,
-    /// Copies of a datagram for all that goes to each by itself.
+    /// The remaining copies of a datagram that is sent to each peer separately.
     copies: VecDeque<OutboundDatagram>,
 }
 
@@ -40,12 +40,13 @@
         self.broadcast_address = address;
     }
 
-    /// The front whose datagrams come from an address.
+    /// The number of the front that sends from an address; `None` if the address is not listed.
     pub(super) fn front(&self, address: SocketAddr) -> Option<u32> {
         self.fronts.get(&address).copied()
     }
 
-    /// The datagram for a recipient; for all fronts, without a broadcast address, the first of its copies.
+    /// Returns the datagram for a recipient. If it is for all fronts and there is no broadcast address, returns the
+    /// copy for the first peer and queues the others. Returns `None` if the recipient has no address.
     pub(super) fn route(&mut self, transmit: Transmit) -> Option<OutboundDatagram> {
         let bytes = transmit.datagram;
         if let Recipient::Front(front) = transmit.recipient {
@@ -55,16 +56,16 @@
         if let Some(destination) = self.broadcast_address {
             return Some(OutboundDatagram { destination, bytes });
         }
-        let others = self.addresses.iter().enumerate().filter(|(front, _)| *front != self.local_front);
+        let peers = self.addresses.iter().enumerate().filter(|(front, _)| *front != self.local_front);
         let copy = |(_, address): (usize, &SocketAddr)| OutboundDatagram {
             destination: *address,
             bytes: bytes.clone(),
         };
-        self.copies.extend(others.map(copy));
+        self.copies.extend(peers.map(copy));
         self.copies.pop_front()
     }
 
-    /// The next copy of a datagram for all.
+    /// Returns the next queued copy of a datagram for all fronts.
     pub(super) fn poll_copy(&mut self) -> Option<OutboundDatagram> {
         self.copies.pop_front()
     }
--- a/crates/ochrelead-node/src/coordination/zones.rs
+++ b/crates/ochrelead-node/src/coordination/zones.rs
@@ -1,4 +1,5 @@
-//! A front's part in leaving and re-entering zones.
+//! Connects the zone engine, which takes traffic out of failing zones and returns it step by step, to gossip and
+//! status.
 
 use std::net::SocketAddr;
 
@@ -11,24 +12,24 @@
 
 use crate::observation::{Observation, TrafficShare};
 
-/// What a front needs to act with the others of its zone.
+/// The settings with which a front takes part in the decisions about zones.
 pub struct ZoneSettings {
     /// The zone of this front.
     pub local_zone: ZoneId,
-    /// The names of the zones, by their numbers.
+    /// The names of the zones, indexed by zone number.
     pub names: Vec<String>,
     /// Thresholds and timing.
     pub config: ZoneConfig,
-    /// Where one datagram reaches all fronts, if anywhere.
+    /// The address at which one datagram reaches all fronts, if there is one.
     pub broadcast_address: Option<SocketAddr>,
-    /// Seeds what is drawn at random.
+    /// The seed of the random number generator.
     pub seed: u64,
 }
 
 pub(super) struct Zones {
     engine: ZoneEngine,
     names: Vec<String>,
-    /// The reduced shares as of the last call.
+    /// The reduced shares at the last call of `poll_traffic_shares`.
     last_shares: Vec<TrafficShare>,
 }
 
@@ -65,7 +66,7 @@
         self.engine.leave(now);
     }
 
-    /// Does what is due, and sends the engine's messages.
+    /// Runs what is due in the engine, and passes its messages to gossip.
     pub(super) fn process(&mut self, now: Moment, gossip: &mut GossipEngine) {
         self.engine.process(now);
         while let Some((recipient, message)) = self.engine.poll_output() {
@@ -81,7 +82,8 @@
         self.engine.poll_timeout()
     }
 
-    /// The shares of the zones that take less than all, where they have changed since the last call.
+    /// Returns the traffic shares of the zones whose share is reduced (below 1), if they have changed since the last
+    /// call.
     pub(super) fn poll_traffic_shares(&mut self, now: Moment) -> Option<Vec<TrafficShare>> {
         let shares: Vec<TrafficShare> = self
             .engine
@@ -97,7 +99,7 @@
         Some(shares)
     }
 
-    /// The status: who observes the local zone, and a line for each reduced share.
+    /// The status: which front observes the local zone, and a line for each share that an observer has set.
     pub(super) fn status_lines(&self, now: Moment) -> Vec<String> {
         let local = self.engine.local_zone();
         let name = self.name(local);
--- a/crates/ochrelead-node/src/health_check.rs
+++ b/crates/ochrelead-node/src/health_check.rs
@@ -1,9 +1,9 @@
-//! Health checks: a signalling server that fell silent is probed by one front of the fleet, and the others learn of the
-//! response with its age. Decisions without I/O.
+//! Health checks: when a signalling server falls silent, one front of the fleet probes it and publishes the response
+//! as a rumor; the other fronts receive the rumor with its age. Makes decisions only and does no I/O.
 //!
-//! A probe is made under a lease and names the lease's fencing token. A front that learns that the server has responded
-//! lately puts its own probe off, but never so long that a failure would be noticed too late; where it learns nothing it
-//! does what it would do alone.
+//! A front probes under a lease, and the probe carries the lease's fencing token. A front that learns of a recent
+//! response postpones its own probe, but never beyond the time by which a failure has to be detected. Without a rumor
+//! it behaves as a front that runs alone.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -16,39 +16,42 @@
 use crate::bounds::protocol;
 use crate::observation::ServerActivity;
 
-/// The topic of rumors that a probed server has responded.
+/// The gossip topic of rumors about servers that responded to a health check.
 pub const RUMOR_TOPIC: u32 = 1;
-/// Fronts that are candidates for the lease on one server.
+/// The maximum number of fronts that apply for the lease on one server.
 const MAX_CANDIDATES: usize = 3;
-/// The holder of a lease probes this often.
+/// The minimum interval between two health checks of one server by the lease holder.
 const CHECK_INTERVAL: Span = Span::from_secs(1);
 
-/// A health check that is due, to be sent at once.
+/// A health check that has to be sent now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueCheck {
     /// The server's id.
     pub server: String,
-    /// The task of its lease.
+    /// The task whose lease permits the check.
     pub task: TaskId,
 }
 
-/// The task of probing a server: the same number at all fronts, by the server's id (FNV-1a).
+/// The lease task for probing a server: the FNV-1a hash of the server's id, so that all fronts use the same number.
 pub fn task_id(server: &str) -> TaskId {
     let mut hasher = FnvHasher::default();
     hasher.write(server.as_bytes());
     TaskId(hasher.finish())
 }
 
-/// The rank of a front among the candidates for a task, of those that are not known to be dead; `None` where it is no
-/// candidate. By a hash of both, so that tasks spread over the fronts and all fronts that see the same members agree.
+/// The rank of a front among the candidates for a task, from 0; `None` if it is not a candidate. `live` lists the
+/// fronts that are not known to be dead.
+///
+/// Uses rendezvous hashing, so that tasks spread over the fronts and all fronts with the same view of the members
+/// agree.
 pub fn candidate_rank(task: TaskId, front: u32, live: &[u32]) -> Option<u32> {
     let local = rendezvous_hash(task, front);
-    let is_before = |other: &&u32| **other != front && rendezvous_hash(task, **other) < local;
-    let before = live.iter().filter(is_before).count();
-    (before < MAX_CANDIDATES).then(|| u32::try_from(before).ok()).flatten()
+    let precedes = |other: &&u32| **other != front && rendezvous_hash(task, **other) < local;
+    let rank = live.iter().filter(precedes).count();
+    (rank < MAX_CANDIDATES).then(|| u32::try_from(rank).ok()).flatten()
 }
 
-/// Mixes a task and a front as SplitMix64 does.
+/// Hashes a task and a front with the finalizer of SplitMix64.
 fn rendezvous_hash(task: TaskId, front: u32) -> u64 {
     let mut hash = task.0 ^ (u64::from(front) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -56,22 +59,26 @@
     hash ^ (hash >> 31)
 }
 
-/// The moment from which a server's silence counts, by what this front and its peers heard last.
+/// The time from which a server's silence is measured, from when this front and when a peer last heard the server: the
+/// earlier of both times plus 3/8 of `SILENT_FAILURE_DEADLINE`, but not earlier than `heard`. Without a peer's
+/// observation it is `heard`.
 ///
-/// Rumors take seconds to spread, and a server that responded then may have failed since: what is left of the time for
-/// noticing that, less the front's own probes, is how old they may be. They put the front's own probe off by no more
-/// than that after it last heard the server itself, whatever is rumored.
+/// Rumors take seconds to spread, and the server may have failed after the response that they report. The 3/8 are what
+/// the detection of a failure by the deadline leaves after the front's own probes: a rumor may be that old and still
+/// postpone a probe, and a probe is postponed by no more than that after this front itself last heard the server,
+/// whatever its peers report.
 pub fn effective_last_heard(heard: Moment, heard_by_peer: Option<Moment>) -> Moment {
-    let allowance = protocol::SILENT_FAILURE_DEADLINE / 8 * 3;
-    heard_by_peer.map_or(heard, |by_peer| heard.max((by_peer + allowance).min(heard + allowance)))
+    let postponement = protocol::SILENT_FAILURE_DEADLINE / 8 * 3;
+    heard_by_peer.map_or(heard, |by_peer| heard.max((by_peer + postponement).min(heard + postponement)))
 }
 
+/// The health checks of one server. This front is a candidate for the lease on it.
 #[derive(Clone, Debug)]
 struct CheckState {
     server: String,
     /// When this front last sent a check.
     last_sent: Option<Moment>,
-    /// When the check was sent whose response was last published.
+    /// The send time of the last check whose response was published.
     last_published: Option<Moment>,
 }
 
@@ -82,8 +89,8 @@
 }
 
 impl HealthCheckScheduler {
-    /// Applies for leases on the silent servers, those without an unprompted message for a quarter of the time allowed
-    /// for noticing a failure, and returns the checks that are due.
+    /// Applies for leases on the silent servers and returns the checks that are due. A server is silent if it has sent
+    /// no unprompted message for `SILENCE_THRESHOLD`, a quarter of the time in which a failure has to be detected.
     pub fn process(
         &mut self,
         now: Moment,
@@ -96,7 +103,7 @@
             .filter(|server| now.since(server.last_unprompted) >= protocol::SILENCE_THRESHOLD)
             .map(|server| (task_id(&server.server), server))
             .collect();
-        self.forget_heard(now, &silent, leases);
+        self.withdraw_candidacies(now, &silent, leases);
         let front = leases.local().front;
         let mut due = Vec::new();
         for (task, server) in silent {
@@ -120,22 +127,22 @@
         due
     }
 
-    /// Gives up the leases on servers that are silent no more.
-    fn forget_heard(
+    /// Withdraws the candidacies for leases on servers that are no longer silent.
+    fn withdraw_candidacies(
         &mut self,
         now: Moment,
         silent: &BTreeMap<TaskId, &ServerActivity>,
         leases: &mut LeaseEngine,
     ) {
-        let heard: Vec<TaskId> =
+        let recovered: Vec<TaskId> =
             self.checks.keys().copied().filter(|task| !silent.contains_key(task)).collect();
-        for task in heard {
+        for task in recovered {
             self.checks.remove(&task);
             leases.set_candidacy(now, task, None);
         }
     }
 
-    /// The servers that have responded to this front's checks: to be published, once for each check.
+    /// Returns the tasks of the servers that have responded to this front's checks, for publication: each check once.
     pub fn poll_responses(&mut self, activity: &[ServerActivity]) -> Vec<TaskId> {
         let mut responses = Vec::new();
         for server in activity {
--- a/crates/ochrelead-node/tests/coordination.rs
+++ b/crates/ochrelead-node/tests/coordination.rs
@@ -1,4 +1,5 @@
-//! The coordination of several nodes, without sockets: what waits for the disk, and what an operator is shown.
+//! The coordination of three fronts, simulated without sockets: leases on a silent server, messages that wait for the
+//! disk, and the status.
 
 use std::net::SocketAddr;
 
@@ -16,25 +17,25 @@
     SocketAddr::from(([127, 0, 0, u8::try_from(front).unwrap() + 1], 7946))
 }
 
-/// A health check that a front was to send.
+/// A health check that a front has requested.
 struct SentCheck {
     front: u32,
-    /// The counter of its token.
+    /// The counter of its fencing token.
     counter: u64,
 }
 
-/// Three fronts, of whom some vote.
+/// Three fronts, some of which vote on leases.
 struct Fleet {
     fronts: Vec<FleetCoordination>,
     now_ms: u64,
-    /// The disk of the last front is stuck: nothing is reported as persisted.
-    disk_is_stuck: bool,
+    /// The disk of the last front does not complete writes: no state is reported as persisted.
+    is_disk_blocked: bool,
     checks: Vec<SentCheck>,
 }
 
 impl Fleet {
-    /// The last front persists its voter state where `persists`.
-    fn new(voters: &[u32], persists: bool) -> Fleet {
+    /// `last_persists`: the last front persists its voter state.
+    fn new(voters: &[u32], last_persists: bool) -> Fleet {
         let addresses: Vec<SocketAddr> = (0..3).map(address).collect();
         let coordination = |front: u32| {
             let config = CoordinationConfig {
@@ -45,13 +46,13 @@
                 seed: 7,
             };
             let mut coordination = FleetCoordination::new(config, moment(0)).unwrap();
-            if persists && front == 2 {
+            if last_persists && front == 2 {
                 coordination.enable_persistence(None, 7, moment(0));
             }
             coordination
         };
         let fronts = (0..3).map(coordination).collect();
-        Fleet { fronts, now_ms: 0, disk_is_stuck: false, checks: Vec::new() }
+        Fleet { fronts, now_ms: 0, is_disk_blocked: false, checks: Vec::new() }
     }
 
     fn now(&self) -> Moment {
@@ -87,15 +88,15 @@
                 self.checks.push(SentCheck { front, counter: token.counter });
             }
         }
-        if let Some(state) = front.poll_voter_state().filter(|_| !self.disk_is_stuck) {
+        if let Some(state) = front.poll_voter_state().filter(|_| !self.is_disk_blocked) {
             assert!(!state.bytes.is_empty());
             front.on_persisted(state.sequence);
         }
     }
 
     fn holders(&self) -> Vec<u32> {
-        let holds = |front: &u32| self.fronts[*front as usize].held_token(self.now(), "s-0").is_some();
-        (0..3).filter(holds).collect()
+        let is_holder = |front: &u32| self.fronts[*front as usize].held_token(self.now(), "s-0").is_some();
+        (0..3).filter(is_holder).collect()
     }
 }
 
@@ -116,17 +117,17 @@
     assert!(last.counter > 0);
 }
 
-/// A promise that is not on disk yet is not sent: two fronts vote, and the disk of one is stuck. The other can't hold a
-/// lease; one does once the disk works.
+/// Two fronts vote, and the disk of one is blocked. Its promises are not sent, so that neither of the other fronts
+/// gets a majority for the lease. Once the disk works, a front gets the lease and probes.
 #[test]
 fn no_promise_is_sent_before_it_is_persisted() {
     let mut fleet = Fleet::new(&[0, 2], true);
-    fleet.disk_is_stuck = true;
+    fleet.is_disk_blocked = true;
     for _ in 0..100 {
         fleet.advance(200);
         assert!(!fleet.holders().contains(&0) && !fleet.holders().contains(&1), "{:?}", fleet.holders());
     }
-    fleet.disk_is_stuck = false;
+    fleet.is_disk_blocked = false;
     fleet.checks.clear();
     fleet.fronts.truncate(2);
     fleet.fronts.push(Fleet::new(&[0, 2], true).fronts.remove(2));
@@ -135,12 +136,12 @@
 }
 
 #[test]
-fn status_shows_the_leases() {
+fn status_shows_voting_and_leases_at_most_once_per_second() {
     let mut fleet = Fleet::new(&[0, 1, 2], false);
-    let StatusReport { status: early, .. } = fleet.fronts[0].poll_status(moment(0)).unwrap();
+    let StatusReport { status: initial, .. } = fleet.fronts[0].poll_status(moment(0)).unwrap();
     assert!(
-        early.contains("front 0 of 3, 1 seen; abstains for 4.0 s more; voters 0,1,2, generation 1\n"),
-        "{early}"
+        initial.contains("front 0 of 3, 1 seen; abstains for 4.0 s more; voters 0,1,2, generation 1\n"),
+        "{initial}"
     );
     fleet.advance(20_000);
     let now = fleet.now();
@@ -155,5 +156,5 @@
     let StatusReport { status, .. } = fleet.fronts[other].poll_status(now).unwrap();
     assert!(status.contains(&format!("promised to front {holder}, ")), "{status}");
     let later = moment(fleet.now_ms + 900);
-    assert_eq!(fleet.fronts[other].poll_status(later), None, "once a second");
+    assert_eq!(fleet.fronts[other].poll_status(later), None, "the status is due at most once per second");
 }
--- a/crates/ochrelead-node/tests/health_check.rs
+++ b/crates/ochrelead-node/tests/health_check.rs
@@ -1,4 +1,5 @@
-//! Who probes a silent server, when, and what the others make of the response.
+//! Health checks: fencing tokens on the wire, which front probes a silent server and when, and how a peer's observation
+//! postpones a front's own probe.
 
 mod helper;
 
@@ -20,21 +21,21 @@
 // ---- Tokens on the wire ----
 
 #[test]
-fn token_reads_as_it_was_written() {
+fn parsed_token_equals_the_formatted_one() {
     assert_eq!(parse_token(&format_token(TOKEN)), Some(TOKEN));
 }
 
-#[test_case(""; "nothing")]
-#[test_case("7.3"; "too little")]
-#[test_case("7.3.-1"; "out of range")]
-#[test_case("99999999999999999999999.1.1"; "too large")]
-#[test_case("18446744073709551615.1.1"; "at the end of its range")]
-fn invalid_token_is_none(text: &str) {
+#[test_case(""; "empty")]
+#[test_case("7.3"; "missing field")]
+#[test_case("7.3.-1"; "negative number")]
+#[test_case("99999999999999999999999.1.1"; "number of more than 64 bits")]
+#[test_case("18446744073709551615.1.1"; "maximum counter")]
+fn invalid_token_is_not_parsed(text: &str) {
     assert_eq!(parse_token(text), None);
 }
 
 #[test]
-fn server_that_has_seen_a_higher_token_is_reported() {
+fn refused_health_check_reports_the_higher_token_of_the_server() {
     let mut node = TestNode::with_servers(1);
     let connection = *node.connections.keys().next().unwrap();
     node.engine.send_health_check("s-0", TOKEN);
@@ -54,22 +55,22 @@
     assert_eq!(node.engine.poll_superseded_token(), None);
 }
 
-// ---- Who probes, and when ----
+// ---- Candidates and probe times ----
 
-/// All fronts that see the same members agree on the candidates, and tasks spread over the fronts.
+/// All fronts with the same view of the members agree on the candidates, and the tasks spread over the fronts.
 #[test]
-fn few_fronts_are_candidates_for_each_server() {
+fn three_fronts_are_candidates_for_each_server() {
     let live: Vec<u32> = (0..300).collect();
-    let mut first = BTreeSet::new();
+    let mut first_candidates = BTreeSet::new();
     for server in 0..24 {
         let task = task_id(&format!("s-{server:08x}"));
         let mut candidates: Vec<(u32, u32)> =
             live.iter().filter_map(|front| Some((candidate_rank(task, *front, &live)?, *front))).collect();
         candidates.sort();
         assert_eq!(candidates.iter().map(|(rank, _)| *rank).collect::<Vec<_>>(), [0, 1, 2]);
-        first.insert(candidates[0].1);
+        first_candidates.insert(candidates[0].1);
     }
-    assert!(first.len() >= 18, "24 servers at {} fronts", first.len());
+    assert!(first_candidates.len() >= 18, "24 servers share {} first candidates", first_candidates.len());
 }
 
 fn leases(voters: &[u32]) -> LeaseEngine {
@@ -82,7 +83,7 @@
     LeaseEngine::new(config, None, moment(0))
 }
 
-/// The leases of a front that is the only voter, once it votes.
+/// The lease engine of a front that is the only voter, after the period in which it abstains.
 fn sole_voter() -> LeaseEngine {
     let mut leases = leases(&[0]);
     leases.process(moment(5_000));
@@ -106,14 +107,14 @@
     }
     assert!(probed.len() >= 4 && probed[0] >= 7_000, "{probed:?}");
     assert!(probed.windows(2).all(|pair| pair[1] - pair[0] >= 1_000), "{probed:?}");
-    // It sends unprompted again: nobody needs to probe it.
+    // The server sends unprompted messages again: the lease is given up.
     let heard = activity(moment(11_900), moment(11_900));
     scheduler.process(moment(12_000), &heard, &[0], &mut leases);
     assert_eq!(leases.permit(moment(12_000), task_id("s-1")), None);
 }
 
 #[test]
-fn response_to_a_probe_is_published_once() {
+fn response_to_a_health_check_is_published_once() {
     let (mut leases, mut scheduler) = (sole_voter(), HealthCheckScheduler::default());
     let silent = activity(moment(5_000), moment(5_000));
     for ms in [7_000, 7_100] {
@@ -121,14 +122,14 @@
         leases.process(moment(ms));
     }
     assert_eq!(scheduler.process(moment(7_200), &silent, &[0], &mut leases).len(), 0);
-    assert!(scheduler.poll_responses(&silent).is_empty(), "no response yet");
+    assert!(scheduler.poll_responses(&silent).is_empty(), "published before a response arrived");
     let responded = activity(moment(5_000), moment(7_300));
     assert_eq!(scheduler.poll_responses(&responded), [task_id("s-1")]);
     assert!(scheduler.poll_responses(&responded).is_empty());
 }
 
 #[test]
-fn no_server_is_probed_without_a_majority() {
+fn silent_server_is_not_probed_without_a_majority_of_voters() {
     let mut leases = leases(&[0, 1, 2]);
     let mut scheduler = HealthCheckScheduler::default();
     for ms in (5_000..30_000).step_by(100) {
@@ -138,22 +139,22 @@
     }
 }
 
-// ---- What others make of it ----
+// ---- Observations of peers ----
 
-/// In milliseconds: last heard by this front, by a peer, and from when its silence counts.
-#[test_case(0, None, 0; "by its own observation alone")]
-#[test_case(5_000, Some(3_000), 6_000; "by a peer's, of before")]
-#[test_case(0, Some(60_000), 3_000; "never so long that its failure would be noticed too late")]
-#[test_case(5_000, Some(1_900), 5_000; "an old observation of a peer adds nothing")]
-fn peer_observation_puts_a_probe_off(heard: u64, by_peer: Option<u64>, effective: u64) {
+/// All times in milliseconds: last heard by this front, last heard by a peer, start of the silence.
+#[test_case(0, None, 0; "own observation only")]
+#[test_case(5_000, Some(3_000), 6_000; "recent observation of a peer")]
+#[test_case(0, Some(60_000), 3_000; "postponement is limited so that a failure is detected in time")]
+#[test_case(5_000, Some(1_900), 5_000; "old observation of a peer is ignored")]
+fn peer_observation_postpones_the_start_of_silence(heard: u64, by_peer: Option<u64>, effective: u64) {
     assert_eq!(effective_last_heard(moment(heard), by_peer.map(moment)), moment(effective));
 }
 
-/// A front connects to a silent server by itself every two seconds; a peer's observation puts that off, and no longer
-/// than allowed.
-#[test_case(false, 4; "alone")]
-#[test_case(true, 2; "with a peer's observation")]
-fn connection_attempts_to_a_silent_server(heard_by_peer: bool, most: usize) {
+/// A front connects to a silent server every two seconds without any lease. A peer's observation postpones that, but
+/// not beyond the limit.
+#[test_case(false, 4; "without observations of peers")]
+#[test_case(true, 2; "with observations of a peer")]
+fn peer_observations_reduce_connection_attempts_to_a_silent_server(heard_by_peer: bool, max_attempts: usize) {
     let mut node = TestNode::with_servers(1);
     for _ in 0..90 {
         node.advance(100);
@@ -162,12 +163,15 @@
         }
     }
     let attempts = node.outputs.iter().filter(|output| matches!(output, Output::ConnectServer(..))).count();
-    assert!((1..=most).contains(&attempts) && (heard_by_peer || attempts == most), "{attempts}");
+    assert!(
+        (1..=max_attempts).contains(&attempts) && (heard_by_peer || attempts == max_attempts),
+        "{attempts}"
+    );
 }
 
-/// A peer that claims to hear what is long dead delays the notice of its failure, but not beyond what is allowed.
+/// A peer that keeps reporting a dead server as heard delays the detection of the failure, but not beyond the deadline.
 #[test]
-fn vanished_server_is_noticed_in_time_although_peers_claim_to_hear_it() {
+fn vanished_server_is_detected_in_time_although_peers_report_it_as_heard() {
     let mut node = TestNode::with_servers(2);
     node.connect_caller(1);
     node.establish(1, 7, 1);
