--- a/crates/ochrelead-node/src/persistence.rs
+++ b/crates/ochrelead-node/src/persistence.rs
@@ -1,7 +1,9 @@
-//! The state folder of a node, where it is given one: a voter's state, replaced atomically and synced, and the status.
+//! The optional state folder of a node. It contains a voter's state, which is replaced atomically and synced, and the
+//! status.
 //!
-//! A thread writes, so that no session waits for the disk. The host is notified of each voter state that has been
-//! written, and lets the messages go that waited for it. The thread ends when its [`PersistenceWriter`] is dropped.
+//! A separate thread writes the files, so that no session waits for the disk. It notifies the host of each voter state
+//! that has been written; the host then releases the messages that depend on that state. The thread ends when its
+//! [`PersistenceWriter`] is dropped.
 
 use std::io;
 use std::path::Path;
@@ -13,57 +15,58 @@
 use ochrelead_host::{COUNTERS, STATUS};
 use tracing::warn;
 
+/// The file name of the voter's state.
 const VOTER_STATE: &str = "promises";
 
-/// A voter's state; a higher sequence number replaces a lower one.
+/// A voter's state. A state with a higher sequence number replaces one with a lower number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterState {
-    /// Its place in the order of states.
+    /// Increases with each change of the state.
     pub sequence: u64,
     /// The encoded state.
     pub bytes: Vec<u8>,
 }
 
-/// What an operator reads of the coordination.
+/// The status and the metrics of the coordination, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusReport {
-    /// The status, a line for each part.
+    /// The status text, one line per component, zone share or lease.
     pub status: String,
-    /// The counters, in the text format of Prometheus.
+    /// The metrics in the text format of Prometheus.
     pub counters: String,
 }
 
-/// What is to be written.
+/// A file that the writer thread has to write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteJob {
-    /// A voter's state, to be synced and reported.
+    /// A voter's state: synced to disk, and its sequence number reported back.
     VoterState(VoterState),
-    /// The status, which need not last.
+    /// The status and the metrics: written without sync, since they need not survive a crash.
     Status(StatusReport),
 }
 
-/// The way to the disk, and the reports that come back.
+/// The channels to and from the writer thread.
 pub struct PersistenceWriter {
-    /// Takes what is to be written.
+    /// Accepts write jobs.
     pub jobs: Sender<WriteJob>,
-    /// The sequence numbers of the voter states that have been written.
+    /// Yields the sequence numbers of the voter states that have been written.
     pub persisted: Receiver<u64>,
 }
 
-/// An opened state folder.
+/// The result of opening a state folder.
 pub struct OpenedState {
     /// The writer of its files.
     pub writer: PersistenceWriter,
-    /// The voter's state that a former process has left, if any.
+    /// The voter's state that a previous process has written, if any.
     pub stored: Option<Vec<u8>>,
 }
 
 impl PersistenceWriter {
-    /// Opens the folder and starts the thread.
+    /// Opens the folder, reads the stored state and starts the writer thread.
     ///
     /// # Errors
     ///
-    /// Where the folder can't be made, the file can't be read, or the thread can't be started.
+    /// Fails if the folder can't be created, the stored state can't be read, or the thread can't be started.
     pub fn open(folder: &Path) -> io::Result<OpenedState> {
         let folder = StateFolder::open(folder)?;
         let stored = folder.read(VOTER_STATE)?;
@@ -85,7 +88,7 @@
 impl WriterThread {
     fn run(mut self) {
         while let Ok(first) = self.queue.recv() {
-            // Only the newest of each matters: it includes all that came before.
+            // Only the latest job of each kind is written: it supersedes the earlier ones.
             let (mut voter_state, mut status) = (None, None);
             for job in std::iter::once(first).chain(self.queue.try_iter()) {
                 match job {
@@ -104,10 +107,10 @@
 
     fn write_voter_state(&mut self, state: &VoterState) {
         match replace(&mut self.folder, VOTER_STATE, &state.bytes, Durability::Synced) {
-            // A closed channel: the host has ended.
+            // Sending fails only if the host has dropped the receiver: no one waits for the report then.
             Ok(()) => _ = self.reports.send_blocking(state.sequence),
             Err(error) => {
-                warn!(%error, "voter state not persisted; messages that depend on it are held back");
+                warn!(%error, "could not persist the voter state; holding back the messages that depend on it");
             }
         }
     }
@@ -118,7 +121,7 @@
         let written = replace_unsynced(STATUS, &report.status)
             .and_then(|()| replace_unsynced(COUNTERS, &report.counters));
         if let Err(error) = written {
-            warn!(%error, "status not written");
+            warn!(%error, "could not write the status files");
         }
     }
 }
--- a/crates/ochrelead-node/tests/event_orders.rs
+++ b/crates/ochrelead-node/tests/event_orders.rs
@@ -1,4 +1,5 @@
-//! Every order of a few events that can end a call, checked against all that is owed.
+//! Plays every sequence of four events that can end a call, and checks that the call gets one final answer, unless its
+//! caller leaves first, and that nothing stays open.
 
 mod helper;
 
@@ -9,8 +10,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
     Accepted,
+    /// The server responds 503.
     Full,
+    /// The server responds 504.
     Reset,
+    /// The server releases the call.
     Bye,
     CallerCancels,
     CallerCloses,
@@ -31,23 +35,23 @@
     Event::TimePasses,
 ];
 
-/// An INVITE: its connection and its sequence number.
+/// An INVITE that was sent, identified by its connection and CSeq number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct SentInvite {
     connection: ServerConnectionId,
     sequence: u32,
 }
 
-/// One call of one caller, and what was seen of it so far.
+/// One call of one caller, and the state derived from the node's outputs so far.
 struct CallRun {
     node: TestNode,
-    /// The last INVITE, until its server ends it or it is cancelled.
+    /// The last INVITE, until its server ends it or the node cancels it.
     in_flight: Option<SentInvite>,
     last_invite: Option<SentInvite>,
-    /// How many outputs have been checked.
-    checked: usize,
+    /// The number of outputs that have been checked.
+    checked_outputs: usize,
     caller_gone: bool,
-    /// Answers and releases that the caller was sent.
+    /// Answers and releases sent to the caller.
     notifications: usize,
     is_released: bool,
 }
@@ -61,7 +65,7 @@
             node,
             in_flight: None,
             last_invite: None,
-            checked: 0,
+            checked_outputs: 0,
             caller_gone: false,
             notifications: 0,
             is_released: false,
@@ -70,7 +74,7 @@
         run
     }
 
-    /// The last INVITE, if its connection is open.
+    /// The last INVITE, if its connection is still open.
     fn open_invite(&self) -> Option<SentInvite> {
         self.last_invite.filter(|invite| self.node.connections.contains_key(&invite.connection))
     }
@@ -117,9 +121,9 @@
         }
     }
 
-    /// Checks what the node has sent since the last check.
+    /// Checks the node's outputs since the last check.
     fn check_outputs(&mut self) {
-        for output in self.node.outputs.split_off(self.checked) {
+        for output in self.node.outputs.split_off(self.checked_outputs) {
             match &output {
                 Output::SendToServer(connection, bytes) => self.check_server_message(*connection, bytes),
                 Output::SendToCaller(_, bytes) => self.check_caller_line(bytes),
@@ -127,14 +131,14 @@
             }
             self.node.outputs.push(output);
         }
-        self.checked = self.node.outputs.len();
+        self.checked_outputs = self.node.outputs.len();
     }
 
     fn check_server_message(&mut self, connection: ServerConnectionId, bytes: &[u8]) {
         let text = std::str::from_utf8(bytes).unwrap();
         if text.starts_with("INVITE") {
-            assert!(!self.caller_gone, "an INVITE for a caller that left");
-            assert_eq!(self.notifications, 0, "an INVITE after the final answer");
+            assert!(!self.caller_gone, "INVITE sent although the caller has cancelled or disconnected");
+            assert_eq!(self.notifications, 0, "INVITE sent after the final answer");
             assert_eq!(self.in_flight, None, "two INVITEs in flight");
             let sequence = text.split("CSeq: ").nth(1).unwrap().split(' ').next().unwrap();
             self.in_flight = Some(SentInvite { connection, sequence: sequence.parse().unwrap() });
@@ -148,11 +152,14 @@
         let line: serde_json::Value = serde_json::from_slice(bytes).unwrap();
         match line["t"].as_str().unwrap() {
             "up" => {
-                assert!(!self.caller_gone && self.notifications == 0, "an answer nobody waits for");
+                assert!(
+                    !self.caller_gone && self.notifications == 0,
+                    "answer sent to a caller that does not wait for one"
+                );
                 self.notifications += 1;
             }
             "down" => {
-                assert!(!self.is_released, "released twice");
+                assert!(!self.is_released, "call released twice");
                 self.notifications += 1;
                 self.is_released = true;
             }
@@ -160,34 +167,38 @@
         }
     }
 
-    /// Long after its deadline nothing is open.
+    /// Advances beyond the call's deadline and checks that nothing is open.
     fn finish(&mut self) {
         self.node.advance(4_000);
         self.check_outputs();
-        assert_eq!(self.in_flight, None, "an INVITE is in flight for ever");
-        assert!(self.caller_gone || self.notifications > 0, "no final answer");
-        assert_eq!(self.node.engine.load().unanswered_calls, 0, "an answer is owed");
+        assert_eq!(self.in_flight, None, "an INVITE is still in flight after the deadline");
+        assert!(self.caller_gone || self.notifications > 0, "the caller got no final answer");
+        assert_eq!(
+            self.node.engine.load().unanswered_calls,
+            0,
+            "a call is still unanswered after the deadline"
+        );
     }
 }
 
 #[test]
-fn every_order_of_four_events_leaves_one_answer_and_nothing_open() {
-    let mut orders = 0;
+fn every_sequence_of_four_events_ends_with_one_answer_and_nothing_open() {
+    let mut sequences = 0;
     for first in EVENTS {
         for second in EVENTS {
             for third in EVENTS {
                 for fourth in EVENTS {
-                    let order = [first, second, third, fourth];
-                    let played = std::panic::catch_unwind(|| {
+                    let events = [first, second, third, fourth];
+                    let result = std::panic::catch_unwind(|| {
                         let mut run = CallRun::start();
-                        order.into_iter().for_each(|event| run.apply(event));
+                        events.into_iter().for_each(|event| run.apply(event));
                         run.finish();
                     });
-                    assert!(played.is_ok(), "{order:?}");
-                    orders += 1;
+                    assert!(result.is_ok(), "{events:?}");
+                    sequences += 1;
                 }
             }
         }
     }
-    assert_eq!(orders, EVENTS.len().pow(4));
+    assert_eq!(sequences, EVENTS.len().pow(4));
 }
--- a/crates/ochrelead-node/tests/stored_bytes.rs
+++ b/crates/ochrelead-node/tests/stored_bytes.rs
@@ -1,5 +1,5 @@
-//! What a node stores and shows, against fixtures of an earlier program: a voter's state under its file name, the status
-//! text and the counters, and the numbers of tasks that go over the wire.
+//! Compatibility with earlier versions: the file names of the state folder, and, compared with fixtures that an earlier
+//! version wrote, the status text, the metrics, the task numbers and the candidate ranks.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn state_folder_has_the_stored_file_names() {
+fn writer_uses_the_file_names_of_earlier_versions() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("stored_promises");
     let _ = fs::remove_dir_all(&folder);
     let opened = PersistenceWriter::open(&folder).unwrap();
@@ -32,7 +32,7 @@
     assert_eq!(opened.writer.persisted.recv_blocking(), Ok(1));
     let started = Instant::now();
     while !folder.join("counters.prom").exists() {
-        assert!(started.elapsed() < Duration::from_secs(10), "no counters");
+        assert!(started.elapsed() < Duration::from_secs(10), "counters.prom not written within 10 s");
         std::thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(fs::read_to_string(folder.join("status")).unwrap(), "status text");
@@ -43,14 +43,14 @@
 }
 
 #[test]
-fn tasks_have_the_numbers_that_go_over_the_wire() {
+fn task_ids_match_those_of_earlier_versions() {
     let names = ["", "s", "s-0", "s-1", "norte-17", "a-much-longer-name-of-a-signalling-server.example"];
     let written: String = names.iter().map(|name| format!("{name} {:016x}\n", task_id(name).0)).collect();
     assert_eq!(written, fixture("tasks.txt"));
 }
 
 #[test]
-fn fronts_are_ranked_as_they_were() {
+fn candidate_ranks_match_those_of_earlier_versions() {
     let fronts: Vec<u32> = (0..40).collect();
     let ranks = |task: u64| -> Vec<(u32, u32)> {
         let ranked = |front: &u32| Some((*front, candidate_rank(TaskId(task), *front, &fronts)?));
@@ -71,11 +71,11 @@
     Moment::from_micros(1_000_000_000_000 + ms * 1_000)
 }
 
-fn front(number: u32, addresses: &[SocketAddr]) -> FleetCoordination {
+fn coordination(front: u32, addresses: &[SocketAddr]) -> FleetCoordination {
     let config = CoordinationConfig {
-        local_address: address(number),
+        local_address: address(front),
         addresses: addresses.to_vec(),
-        front: Some(number),
+        front: Some(front),
         electorate: Electorate::new(1, &[0, 1, 2]),
         seed: 7,
     };
@@ -88,11 +88,11 @@
     ServerReport { activity: vec![activity], locations: Vec::new() }
 }
 
-/// Three fronts and a silent server for twenty seconds; what each shows then.
+/// Compares what three fronts write after 20 s with a silent server.
 #[test]
-fn status_and_counters_are_the_stored_text() {
+fn status_and_metrics_match_those_of_earlier_versions() {
     let addresses: Vec<SocketAddr> = (0..3).map(address).collect();
-    let mut fronts: Vec<FleetCoordination> = (0..3).map(|number| front(number, &addresses)).collect();
+    let mut fronts: Vec<FleetCoordination> = (0..3).map(|front| coordination(front, &addresses)).collect();
     for ms in (20..=20_000).step_by(20) {
         let now = moment(ms);
         let mut sent = Vec::new();
