--- a/crates/ochrelead-core/src/controller.rs
+++ b/crates/ochrelead-core/src/controller.rs
@@ -1,9 +1,12 @@
-//! The decisions on sessions.
+//! The routing decisions of one front.
 //!
-//! A host reports what it observes through the `on_*` methods, which only update state. After each turn it
-//! calls [`Controller::next_decision`] until none is left, then [`Controller::poll_timeout`] for the next.
-//! Here: the course of a session. `observations`: what events mean; `admission`: whether a server can admit a
-//! session; `slow_start`: what a restarted server may be sent; `health`: outlier detection, in-flight limits.
+//! In each iteration of its event loop the host sets the clock with [`Controller::advance_to`], reports its
+//! observations through the `on_*` methods, which only update state, calls [`Controller::next_decision`] until
+//! it returns `None`, and schedules the next iteration by [`Controller::poll_timeout`].
+//!
+//! This module takes a session that is due to a decision. `observations` updates the state; `admission`
+//! decides whether a server can admit a session; `slow_start` limits what a server is sent while it warms up;
+//! `health` contains outlier detection, routing weights and in-flight limits.
 
 mod admission;
 mod health;
@@ -24,50 +27,53 @@
 use crate::time::{Moment, Span};
 use crate::types::{BudgetGrant, Decision, DecisionReason, InviteOutcome, RejectionCause, RoutingChoice};
 
-/// The most INVITEs for one session, whatever the configuration allows.
-const MAX_INVITES: u32 = 3;
-/// Callers are asked back after this share of the latency objective: the same attempt may still meet it.
+/// Upper bound on the INVITEs for one session, which the configuration can lower but not raise.
+const MAX_INVITES_PER_SESSION: u32 = 3;
+/// The retry-after of a rejection, as a share of the latency objective: short enough for a redial to be
+/// established within the objective of the first request.
 const RETRY_AFTER_SHARE: f64 = 0.2;
-/// Where answers get lost the front waits for one for this share of the latency objective.
+/// Answer timeout of an INVITE to a server whose answers get lost, as a share of the latency objective.
 const LOSSY_ANSWER_TIMEOUT_SHARE: f64 = 0.5;
-/// The widths of the buckets of windows over the recent past (eight) and over the long term (sixteen).
+/// Bucket width of the windows over recent events: 8 buckets cover 2 s.
 const RECENT_BUCKET: Span = Span::from_millis(250);
+/// Bucket width of the long-term windows: 16 buckets cover 32 s.
 const LONG_TERM_BUCKET: Span = Span::from_secs(2);
-/// While an INVITE is outstanding the host is asked to come so many times in a latency objective.
+/// Number of polls per latency objective while an INVITE is outstanding, so that a stall of this front shows.
 const POLLS_PER_OBJECTIVE: u64 = 8;
-/// A turn that comes later than so many of the host's shortest intervals shows that this front stood still.
+/// This front has stalled if the host polls later than due by more than this many minimum poll intervals.
 const STALL_INTERVALS: u64 = 4;
 
-/// The decisions of one front, and what it knows of services, tenants, servers, called numbers and sessions.
-/// The host tells it the time and what it observes, and carries out its decisions.
+/// Makes the routing decisions of one front, from the state of its services, tenants, servers, called numbers
+/// and sessions. The host passes in the time and its observations, and carries out the decisions.
 pub struct Controller {
     config: ControllerConfig,
     started_at: Moment,
     now: Moment,
     services: IndexVec<ServiceIx, ServiceState>,
-    /// The shortest latency objective of all services.
+    /// The shortest latency objective of all services; 1 s if there is no service.
     latency_objective: Span,
     tenants: IndexVec<TenantIx, TenantQuota>,
-    /// The part of all sessions that each front carries where the traffic is even.
+    /// The share of all sessions that one front carries if traffic is spread evenly: 1 / number of fronts.
     even_share: f64,
-    /// The answers of all servers over the long term.
+    /// The answers of all servers in the long-term window.
     answers: SlidingWindow<16>,
-    /// The recent sessions that did not go to their destination.
+    /// Recent decisions that did not send the session to its destination.
     overflow: SlidingWindow<8>,
-    /// The mean priority weight of recent sessions.
+    /// Moving average of the priority weight of requested sessions.
     mean_priority_weight: f64,
     sessions: Sessions,
     servers: IndexVec<ServerIx, ServerState>,
     called_numbers: CalledNumbers,
-    /// When the host was last asked to come, and by how much it came too late for this turn.
+    /// The time that `poll_timeout` last returned.
     timeout_at: Option<Moment>,
+    /// How late the current poll is if this front has stalled, otherwise zero. Subtracted from answer times.
     stall: Span,
     last_reason: DecisionReason,
     rng: Pcg64Mcg,
 }
 
 impl Controller {
-    /// A front that starts at `now` and knows no servers yet.
+    /// Returns the controller of a front that starts at `now`, without servers.
     pub fn new(config: &ControllerConfig, now: Moment) -> Self {
         let services = &config.services;
         let lowest_value = services.iter().map(|service| service.value).fold(f64::INFINITY, f64::min);
@@ -95,8 +101,10 @@
         }
     }
 
-    /// Sets the clock; called before anything else of a turn. A front that stood still finds all that came
-    /// meanwhile in one turn: by how much the turn is late is not taken for the servers' answer time.
+    /// Sets the clock. The host calls it before it reports observations or takes decisions.
+    ///
+    /// After a stall, a front reads everything that arrived meanwhile in one poll. The time by which that poll
+    /// is late is therefore not counted as answer time of the servers.
     pub fn advance_to(&mut self, now: Moment) {
         if now > self.now {
             let late = self.timeout_at.map_or(Span::ZERO, |timeout_at| now.since(timeout_at));
@@ -106,7 +114,7 @@
         }
     }
 
-    /// The next decision, until there is none left for this turn.
+    /// Returns the next decision that is due, or `None` if no further one is due at the current time.
     pub fn next_decision(&mut self) -> Option<Decision> {
         self.expire_probes();
         while let Some(session) = self.sessions.pop_due(self.now) {
@@ -118,12 +126,15 @@
         None
     }
 
-    /// Why the last decision was made.
+    /// Returns the reason for the last decision.
     pub fn last_reason(&self) -> DecisionReason {
         self.last_reason
     }
 
-    /// When the host is to come again at the latest: in time to notice that this front itself stood still.
+    /// Returns the latest time of the next poll, or `None` if nothing is scheduled.
+    ///
+    /// It is the earliest of: the next session due, the expiry of a probe and, while an INVITE is outstanding,
+    /// 1 / `POLLS_PER_OBJECTIVE` of the latency objective from now, by which a stall of this front is detected.
     pub fn poll_timeout(&mut self) -> Option<Moment> {
         let (now, objective) = (self.now, self.latency_objective);
         let probes = self.servers.iter().filter_map(|server| server.probe_expires_at(objective));
@@ -134,7 +145,8 @@
         self.timeout_at
     }
 
-    /// Decides on a session that is due: an INVITE, none while a re-send has to wait, or why to reject it.
+    /// Evaluates a session that is due. Returns an INVITE, `None` if the INVITE has to wait for the resend
+    /// delay, or the cause for which to reject the session.
     fn evaluate(&mut self, session: SessionIx) -> Result<Option<Decision>, RejectionCause> {
         let Some(state) = self.sessions.get(session) else { return Ok(None) };
         let (destination, reservation) = (state.request.destination, state.reservation);
@@ -158,7 +170,7 @@
         Ok(None)
     }
 
-    /// Whether a session whose next INVITE may be sent at `ready_at` may be sent to any server.
+    /// Checks the limits that hold for all servers, for a session whose next INVITE can be sent at `ready_at`.
     fn check_limits(&self, session: &SessionState, ready_at: Moment) -> Result<(), RejectionCause> {
         let request = &session.request;
         let may_send = match session.last_outcome {
@@ -166,20 +178,22 @@
             Some(outcome) => outcome.may_have_run() && self.services[request.service].is_retryable,
         };
         let is_in_time = ready_at + self.config.min_turn_interval < request.deadline;
-        // A number whose lines were all busy a moment ago is not called.
+        // A number is not called again until the wait after its busy lines is over.
         let is_busy = |number| self.called_numbers.get(number).busy_until > self.now;
         let configured = self.config.max_invites;
-        let max_invites = if configured == 0 { MAX_INVITES } else { configured.min(MAX_INVITES) };
+        let max_invites =
+            if configured == 0 { MAX_INVITES_PER_SESSION } else { configured.min(MAX_INVITES_PER_SESSION) };
         let limits = [
             (may_send, RejectionCause::NotRetryable),
             (is_in_time, RejectionCause::DeadlineTooClose),
             (!request.called_number.is_some_and(is_busy), RejectionCause::CalledNumberBusy),
             (session.invites_sent < max_invites, RejectionCause::AttemptsExhausted),
         ];
-        limits.into_iter().try_for_each(|(holds, cause)| if holds { Ok(()) } else { Err(cause) })
+        limits.into_iter().try_for_each(|(is_met, cause)| if is_met { Ok(()) } else { Err(cause) })
     }
 
-    /// What lets the next INVITE go to a server; none where its retry budget is empty.
+    /// Returns the grant for the session's next INVITE to a server, or `None` if the server's retry budget is
+    /// empty. The first INVITE is free; a reservation for the same server is used before the budget is charged.
     fn acquire_budget(&mut self, session: SessionIx, server: ServerIx) -> Option<BudgetGrant> {
         let state = self.sessions.get(session)?;
         match state.reservation {
@@ -204,14 +218,15 @@
         let is_destination = target.number == state.request.destination;
         let choice = if is_destination { RoutingChoice::Destination } else { RoutingChoice::WeightedDraw };
         self.last_reason = DecisionReason::Sent { choice, grant };
-        // Where answers get lost there has to be time for another INVITE.
+        // If answers get lost, a short answer timeout leaves time for another INVITE.
         let service = &self.services[state.request.service];
         let is_lossy = now < target.answers_lossy_until && service.is_retryable;
         let answer_timeout = is_lossy.then(|| service.latency_objective.scaled(LOSSY_ANSWER_TIMEOUT_SHARE));
         Some(Decision::Invite { session, server, answer_timeout })
     }
 
-    /// The destination while it can admit the session, then a weighted draw among the others that can.
+    /// Chooses the destination if it can admit the session, otherwise draws by routing weight among the other
+    /// servers that can. If no server can admit it, servers of last resort are the candidates.
     fn choose_server(&mut self, session: SessionIx) -> Option<ServerIx> {
         let state = self.sessions.get(session)?;
         let allowed = &self.services[state.request.service].servers;
@@ -225,15 +240,17 @@
             admitting = candidates().filter(|server| self.is_last_resort(*server)).collect();
         }
         let destination = state.request.destination;
-        if let Some(first) = admitting.iter().find(|server| self.servers[**server].number == destination) {
-            return Some(*first);
+        if let Some(preferred) = admitting.iter().find(|server| self.servers[**server].number == destination)
+        {
+            return Some(*preferred);
         }
         let weights = admitting.iter().map(|server| self.servers[*server].routing_weight(self.now));
         let draw = WeightedIndex::new(weights).ok()?;
         Some(admitting[draw.sample(&mut self.rng)])
     }
 
-    /// Answers a session at once, with a time to come back where callers follow one.
+    /// Rejects a session, with a retry-after if callers follow one. If the service is not retryable, a session
+    /// for which an INVITE has been sent fails instead.
     fn reject(&mut self, session: SessionIx, cause: RejectionCause) -> Decision {
         self.last_reason = DecisionReason::Rejected(cause);
         let Some(state) = self.remove_session(session) else { return Decision::Fail { session } };
@@ -244,9 +261,9 @@
         if state.invites_sent > 0 && !service.is_retryable {
             return Decision::Fail { session };
         }
-        let max = self.config.max_retry_after;
-        let retry_after = max.min(service.latency_objective.scaled(RETRY_AFTER_SHARE));
-        Decision::Reject { session, retry_after: (max > Span::ZERO).then_some(retry_after) }
+        let max_retry_after = self.config.max_retry_after;
+        let retry_after = max_retry_after.min(service.latency_objective.scaled(RETRY_AFTER_SHARE));
+        Decision::Reject { session, retry_after: (max_retry_after > Span::ZERO).then_some(retry_after) }
     }
 
     fn remove_session(&mut self, session: SessionIx) -> Option<SessionState> {
@@ -254,7 +271,7 @@
         self.sessions.remove(session)
     }
 
-    /// Gives back, once, what a session's next INVITE had taken from a retry budget.
+    /// Refunds the grant that a session has reserved for its next INVITE, if any.
     fn refund_reservation(&mut self, session: SessionIx) {
         let state = self.sessions.get_mut(session);
         if let Some(reserved) = state.and_then(|state| state.reservation.take()) {
--- a/crates/ochrelead-core/src/controller/health.rs
+++ b/crates/ochrelead-core/src/controller/health.rs
@@ -1,4 +1,4 @@
-//! The health of a server, by its answers: outlier detection, weight, answer time, in-flight limit.
+//! Health of a server, judged by its answers: outlier detection, routing weight, answer time, in-flight limit.
 
 use super::Controller;
 use crate::index::ServerIx;
@@ -6,28 +6,31 @@
 use crate::time::{Moment, Span};
 use crate::types::ServerSnapshot;
 
-/// An answer within this share of the latency objective is easy: no sign of a queue. So is one within this
-/// multiple of the shortest of the long term.
-pub(super) const EASY_ANSWER_SHARE: f64 = 0.2;
-const EASY_ANSWER_MULTIPLE: u64 = 2;
-/// The least in-flight limit, as a share of one INVITE.
+/// Uncongested answer time: an answer within this share of the latency objective, or within this multiple of the
+/// shortest answer time in the long-term window, does not indicate a queue at the server.
+pub(super) const UNCONGESTED_ANSWER_SHARE: f64 = 0.2;
+const UNCONGESTED_ANSWER_MULTIPLE: u64 = 2;
+/// Lower bound of the in-flight limit, in INVITEs.
 const MIN_IN_FLIGHT_LIMIT: f64 = 0.125;
-/// The in-flight limit has room for so many INVITEs beside so many times what the answer rate carries.
+/// Without congestion the in-flight limit is `SPARE_IN_FLIGHT` + `IN_FLIGHT_MULTIPLE` * the number of INVITEs in
+/// flight at the present answer rate.
 const SPARE_IN_FLIGHT: f64 = 1.25;
 const IN_FLIGHT_MULTIPLE: f64 = 1.5;
-/// With so many recent answers a front sees a queue by itself.
+/// Number of recent answers from which a front can detect a queue at the server by itself.
 pub(super) const MIN_RECENT_ANSWERS: u32 = 4;
-/// What a server reports, and its latest answer, count for so many latency objectives.
+/// Validity of a server's reports, and of its latest answer time, in latency objectives.
 pub(super) const REPORT_VALIDITY_OBJECTIVES: u64 = 6;
-/// A server's weight after a slow or full set-up, and how much of the lost part each second brings back.
+/// Factor on a server's routing weight after a slow answer, a failure or a lack of lines.
 const WEIGHT_REDUCTION: f64 = 0.5;
+/// Share of the lost routing weight that is recovered each second.
 const WEIGHT_RECOVERY_PER_S: f64 = 0.1;
-/// The longest time between two probes of an ejected server, in latency objectives.
+/// Upper bound of the backoff between two probes of an ejected server, in latency objectives.
 const MAX_BACKOFF_OBJECTIVES: u64 = 4;
 
 impl Controller {
-    /// Ends probes that were not answered. A server that is only silent is not ejected: the age of what waits
-    /// there counts as its answer time and holds new sessions back.
+    /// Counts probes without an answer within the latency objective as failed. Silence alone does not
+    /// eject a server: the age of its oldest waiting INVITE counts as its answer time and lowers its in-flight
+    /// limit.
     pub(super) fn expire_probes(&mut self) {
         let (now, objective) = (self.now, self.latency_objective);
         for server in self.servers.iter_mut() {
@@ -37,7 +40,7 @@
         }
     }
 
-    /// The present state of a server, for the event log.
+    /// Returns the current state of a server for the event log, or `None` if the server is not known.
     pub fn server_snapshot(&self, server: ServerIx) -> Option<ServerSnapshot> {
         let (server, now, objective) = (self.servers.get(server)?, self.now, self.latency_objective);
         Some(ServerSnapshot {
@@ -54,7 +57,9 @@
 }
 
 impl ServerState {
-    /// Ejects the server for the backoff; then one session probes it, and each failure lengthens the backoff.
+    /// Ejects the server for `first_backoff`, after which one session probes it. Each failed probe doubles the
+    /// backoff, within 1 to `MAX_BACKOFF_OBJECTIVES` latency objectives. Has no effect on an ejected server
+    /// without a probe in flight.
     pub(super) fn eject(&mut self, now: Moment, first_backoff: Span, objective: Span) {
         let backoff = match self.ejection {
             Some(ejection) if !ejection.probe_in_flight => return,
@@ -66,15 +71,18 @@
         self.recent_answers.clear();
     }
 
-    /// When the probe of an ejected server counts as unanswered: the next one does not wait for its deadline.
+    /// Returns when the probe of an ejected server counts as failed: one latency objective after it was sent, so
+    /// that the next probe does not have to wait for the session's deadline.
     pub(super) fn probe_expires_at(&self, objective: Span) -> Option<Moment> {
         self.ejection.filter(|ejection| ejection.probe_in_flight)?;
         Some(self.in_flight.last()?.sent_at + objective)
     }
 
-    /// When the INVITEs that count as waiting for an answer were sent, oldest first. One that a later one has
-    /// overtaken, or that is not answered for a latency objective although the server was heard since, was
-    /// lost on the way: it says nothing of the server's present state.
+    /// Returns when the INVITEs that count as waiting for an answer were sent, oldest first.
+    ///
+    /// An INVITE counts as lost, and is left out, if a later one has been answered, or if the server was last
+    /// heard from more than a latency objective after the INVITE was sent: it does not show the server's
+    /// present state.
     pub(super) fn waiting(&self, objective: Span) -> impl Iterator<Item = Moment> {
         let sent_at = self.in_flight.iter().map(|invite| invite.sent_at);
         sent_at.filter(move |sent_at| {
@@ -82,29 +90,32 @@
         })
     }
 
-    /// The last attempt failed, which counts until an answer.
+    /// Records that the last attempt failed; the next answer clears it.
     pub(super) fn record_failure(&mut self, now: Moment) {
         self.last_attempt_failed = true;
         self.reduce_weight(now);
     }
 
+    /// Multiplies the routing weight by `WEIGHT_REDUCTION`.
     pub(super) fn reduce_weight(&mut self, now: Moment) {
         self.weight_factor = self.recovered_weight_factor(now) * WEIGHT_REDUCTION;
         self.weight_updated_at = now;
     }
 
+    /// Returns the weight factor at `now`: its distance from 1 shrinks by `WEIGHT_RECOVERY_PER_S` each second.
     fn recovered_weight_factor(&self, now: Moment) -> f64 {
         let seconds = now.since(self.weight_updated_at).ratio(Span::from_secs(1));
         1.0 - (1.0 - self.weight_factor) * (1.0 - WEIGHT_RECOVERY_PER_S).powf(seconds)
     }
 
-    /// Its weight in the draw among servers: the listed one, by its recent set-ups and its free lines.
+    /// Returns the weight in the draw among servers: listed weight * recovered weight factor * free lines.
     pub(super) fn routing_weight(&self, now: Moment) -> f64 {
         self.listed_weight * self.recovered_weight_factor(now) * f64::from(self.lines.free.max(1))
     }
 
-    /// The present answer time: of recent answers, or the age of what waits where that is longer. Without a
-    /// recent one the latest counts: in a large fleet a front sees a server less often than a queue lasts.
+    /// Returns the present answer time: the mean of recent answers, or the age of the oldest waiting INVITE if
+    /// that is longer. If there is no recent answer, the latest valid one stands in for the mean: in a large
+    /// fleet a front sends to one server less often than a queue there lasts.
     pub(super) fn answer_time(&self, now: Moment, objective: Span) -> Span {
         let longest_wait = self.waiting(objective).next().map_or(Span::ZERO, |sent_at| now.since(sent_at));
         let validity = objective * REPORT_VALIDITY_OBJECTIVES;
@@ -113,14 +124,19 @@
         self.recent_answers.stats(now).mean().unwrap_or(latest_time).max(longest_wait)
     }
 
-    /// How many INVITEs may be in flight: what it answered recently times the easy answer time, with one to
-    /// spare, by the ratio of the easy answer time to the present one. A server that has answered little, as
-    /// it is new or back from silence, so starts at about one and grows with its answers.
+    /// Returns the number of INVITEs that may be in flight:
+    ///
+    /// (`SPARE_IN_FLIGHT` + `IN_FLIGHT_MULTIPLE` * answer rate * uncongested answer time)
+    /// * min(1, uncongested answer time / present answer time), at least `MIN_IN_FLIGHT_LIMIT`.
+    ///
+    /// For a server that is new or has been silent the limit therefore starts at about one INVITE and grows
+    /// with its answers.
     pub(super) fn in_flight_limit(&self, now: Moment, objective: Span) -> f64 {
         let shortest = self.long_term_answers.stats(now).min.unwrap_or(Span::ZERO);
-        let easy = (shortest * EASY_ANSWER_MULTIPLE).max(objective.scaled(EASY_ANSWER_SHARE));
-        let carried = self.answer_rate(now) * easy.ratio(Span::from_secs(1));
-        let ratio = easy.ratio(self.answer_time(now, objective)).min(1.0);
-        ((SPARE_IN_FLIGHT + IN_FLIGHT_MULTIPLE * carried) * ratio).max(MIN_IN_FLIGHT_LIMIT)
+        let uncongested =
+            (shortest * UNCONGESTED_ANSWER_MULTIPLE).max(objective.scaled(UNCONGESTED_ANSWER_SHARE));
+        let in_flight_at_rate = self.answer_rate(now) * uncongested.ratio(Span::from_secs(1));
+        let ratio = uncongested.ratio(self.answer_time(now, objective)).min(1.0);
+        ((SPARE_IN_FLIGHT + IN_FLIGHT_MULTIPLE * in_flight_at_rate) * ratio).max(MIN_IN_FLIGHT_LIMIT)
     }
 }
--- a/crates/ochrelead-core/src/controller/observations.rs
+++ b/crates/ochrelead-core/src/controller/observations.rs
@@ -1,8 +1,8 @@
-//! What observations change in the state; nothing is decided here.
+//! State updates from the host's observations. No routing decision is made here.
 
 use rand::RngExt;
 
-use super::health::EASY_ANSWER_SHARE;
+use super::health::UNCONGESTED_ANSWER_SHARE;
 use super::{Controller, LONG_TERM_BUCKET, RECENT_BUCKET};
 use crate::index::{CalledNumberIx, ServerIx, ServiceIx, SessionIx};
 use crate::state::mean_hold_time_s;
@@ -10,25 +10,27 @@
 use crate::time::{Moment, Span};
 use crate::types::{CallRequest, EndpointState, EndpointUpdate, InviteOutcome, LineCapacity, LoadReport};
 
-/// A session to a number that was rejected less than so many latency objectives ago counts as a redial.
+/// A session counts as a redial if one to the same number was rejected within this many latency objectives.
 const REDIAL_OBJECTIVES: u64 = 4;
-/// After a sign of it, a server's answers are assumed to get lost for so many latency objectives.
+/// Latency objectives for which a server's answers are assumed to get lost after an INVITE timed out although a
+/// later one was answered.
 const LOSSY_OBJECTIVES: u64 = 8;
-/// A called number is left alone for at most so many latency objectives after its lines were busy.
+/// Upper bound, in latency objectives, of the time for which a called number with busy lines is not called.
 const MAX_BUSY_OBJECTIVES: u32 = 4;
-/// An answer slower than so many times an easy one reduces the server's weight.
+/// An answer that takes more than this multiple of the uncongested share of the latency objective reduces the
+/// server's routing weight.
 const SLOW_ANSWER_MULTIPLE: f64 = 2.0;
-/// How far one session moves the mean priority weight.
+/// Smoothing factor of the moving average of priority weights, applied for each requested session.
 const PRIORITY_WEIGHT_SMOOTHING: f64 = 0.05;
-/// The width of the buckets of lines in use.
+/// Bucket width of the window over lines in use.
 const LINES_BUCKET: Span = Span::from_secs(1);
-/// The time in which overload breaks a server that is warming up, in buckets of what it was sent.
+/// Number of buckets of the window over sent INVITEs, which covers the overload duration.
 const SEND_BUCKETS: u64 = 4;
 
 impl Controller {
-    /// A caller asks for a session; a decision on it is due at once.
+    /// Records a caller's request for a session. A decision on it is due at once.
     pub fn on_call_request(&mut self, session: SessionIx, request: CallRequest) {
-        // Redials pass for first attempts where nothing marks them: they are known by their number.
+        // A redial that is not marked as one is recognized by its called number.
         let (now, memory) = (self.now, self.latency_objective * REDIAL_OBJECTIVES);
         let known = request.called_number.map(|number| self.called_numbers.get(number)).unwrap_or_default();
         let rejected_at = known.rejected_at.filter(|rejected_at| now.since(*rejected_at) < memory);
@@ -51,7 +53,7 @@
         self.sessions.insert(session, state);
     }
 
-    /// The session's INVITE was answered: the call is established.
+    /// Records that the session's INVITE was answered and its call is established.
     pub fn on_call_established(&mut self, session: SessionIx) {
         let (now, objective) = (self.now, self.latency_objective);
         let Some(state) = self.sessions.get_mut(session) else { return };
@@ -65,7 +67,7 @@
         let server = &mut self.servers[server];
         server.remove_invite(session);
         server.record_answer(now, sent_at, took);
-        if took > objective.scaled(EASY_ANSWER_SHARE * SLOW_ANSWER_MULTIPLE) {
+        if took > objective.scaled(UNCONGESTED_ANSWER_SHARE * SLOW_ANSWER_MULTIPLE) {
             server.reduce_weight(now);
         }
         if took > objective {
@@ -75,7 +77,8 @@
         }
     }
 
-    /// An INVITE, or the call that it set up, has ended. `is_final`: the session has its answer.
+    /// Records the end of an INVITE, or of the call that it set up. `is_final` means that the caller has the
+    /// session's final answer, so that no further INVITE is sent for it.
     pub fn on_invite_ended(
         &mut self,
         session: SessionIx,
@@ -108,7 +111,8 @@
         }
     }
 
-    /// A number whose lines were all busy is left alone, longer each time; a release frees a line.
+    /// Sets until when a called number counts as busy: for n latency objectives after the n-th consecutive INVITE
+    /// that met busy lines, at most `MAX_BUSY_OBJECTIVES`. A release frees a line and ends that time.
     fn observe_called_number(&mut self, number: CalledNumberIx, outcome: InviteOutcome) {
         let number = self.called_numbers.get_mut(number);
         match outcome {
@@ -122,7 +126,7 @@
         }
     }
 
-    /// The caller has gone, or the session was answered elsewhere.
+    /// Records that the caller has abandoned the session, or that it was answered elsewhere.
     pub fn on_caller_gone(&mut self, session: SessionIx) {
         let Some(state) = self.sessions.get_mut(session) else { return };
         state.is_settled = true;
@@ -131,7 +135,7 @@
         }
     }
 
-    /// An update of the endpoints; `is_complete` where it names all servers there are.
+    /// Applies a discovery update. If `is_complete`, servers that it does not list get no new sessions.
     pub fn on_endpoints(&mut self, is_complete: bool, updates: &[EndpointUpdate]) {
         let (now, warm_up_time) = (self.now, self.config.warm_up_time);
         if is_complete {
@@ -153,7 +157,7 @@
         }
     }
 
-    /// A server reports the load of its processor.
+    /// Records a server's report of its processor load; a report without values changes nothing.
     pub fn on_load_report(&mut self, server: ServerIx, report: LoadReport) {
         let server = self.servers.get_mut(server).filter(|_| report != LoadReport::default());
         if let Some(server) = server {
@@ -161,21 +165,22 @@
         }
     }
 
-    /// The numbers of the servers that serve a service from now on; any where none is named.
+    /// Replaces the numbers of the servers that serve a service; an empty list allows all servers.
     pub fn on_service_servers(&mut self, service: ServiceIx, servers: &[i64]) {
         if let Some(service) = self.services.get_mut(service) {
             service.servers = servers.to_vec();
         }
     }
 
-    /// A server reports its lines.
+    /// Records a server's report of its lines.
     pub fn on_line_capacity(&mut self, server: ServerIx, lines: LineCapacity) {
         if let Some(server) = self.servers.get_mut(server) {
             server.update_lines(self.now, lines, mean_hold_time_s(&self.services));
         }
     }
 
-    /// The share of the sessions that a server admits from now on, the same at all fronts; 1 for all.
+    /// Sets the share of the sessions, from 0 to 1, that a server admits while traffic leaves or re-enters its
+    /// zone. The share is the same at all fronts.
     pub fn on_zone_share(&mut self, server: ServerIx, share: f64) {
         if let Some(server) = self.servers.get_mut(server) {
             server.zone_share = share;
@@ -184,12 +189,13 @@
 }
 
 impl ServerState {
-    /// What the end of an INVITE sent at `sent_at`, or of the call that it set up, says of the server.
+    /// Updates the server's health for the end of an INVITE sent at `sent_at`, or of the call that it set up.
     fn observe_outcome(&mut self, now: Moment, outcome: InviteOutcome, sent_at: Moment, objective: Span) {
         use InviteOutcome::{Cancelled, ConnectFailed, Failed, Rejected, Released, Reset, TimedOut, Unsent};
-        // No answer, though a later INVITE had one: it was lost; the server is not slow. Otherwise it takes
-        // longer than this: were that forgotten, one INVITE of each front after the other would keep a jammed
-        // server jammed. Harm: where answers get lost, the server is held back for a while.
+        // If a later INVITE has been answered, the answer was lost and the server is not slow. Otherwise the time
+        // since `sent_at` is a lower bound of its answer time. Without that record, one INVITE from each front
+        // in turn would keep an overloaded server overloaded. Trade-off: if answers get lost, the server is sent
+        // less for a while.
         if outcome == TimedOut && sent_at < self.newest_answered_sent_at {
             self.answers_lossy_until = now + objective * LOSSY_OBJECTIVES;
         } else if outcome == TimedOut {
@@ -200,12 +206,12 @@
         }
         match outcome {
             Released => {}
-            // Busy lines, a number's or its own, are no sign of a full processor. A probe that met them does
-            // not tell whether the server is healthy: the next session is another probe.
+            // Busy lines do not indicate a full processor. A probe that met them does not show whether the
+            // server is healthy, so the next session is another probe.
             Failed { lines_busy: true } => {
                 self.ejection.iter_mut().for_each(|ejection| ejection.probe_in_flight = false);
             }
-            // A server that answers quickly with failures would attract ever more sessions.
+            // Without ejection, a server that quickly answers with failures would attract more and more sessions.
             Failed { lines_busy: false } => {
                 self.record_failure(now);
                 self.eject(now, objective, objective);
@@ -221,7 +227,7 @@
                 self.eject(now, retry_after, objective);
             }
             ConnectFailed => self.eject(now, objective, objective),
-            // A probe that fails, or ends without an answer, leaves the server ejected, for longer.
+            // A probe that fails, or ends without an answer, extends the ejection.
             Rejected { retry_after: None, .. } | TimedOut | Reset | Cancelled | Unsent => {
                 self.record_failure(now);
                 if self.is_ejected() {
--- a/crates/ochrelead-core/src/retry_budget.rs
+++ b/crates/ochrelead-core/src/retry_budget.rs
@@ -1,13 +1,16 @@
-//! The retry budget of a server: a re-send takes a token, a first set-up adds a tenth, unused tokens expire.
+//! The retry budget of a server: the first INVITE of a session deposits a tenth of a token, a re-send withdraws
+//! one, and unused tokens expire.
 
 use crate::time::{Moment, Span};
 use crate::types::BudgetGrant;
 
-/// One token in whole small units, so that ten deposits make exactly one token.
-const TOKEN: u64 = 1_000_000_000;
-const DEPOSIT: u64 = TOKEN / 10;
+/// Units of one token; integer arithmetic makes ten deposits exactly one token.
+const TOKEN_UNITS: u64 = 1_000_000_000;
+/// Units that the first INVITE of a session deposits.
+const DEPOSIT_UNITS: u64 = TOKEN_UNITS / 10;
+/// Time in which tokens that are not used expire.
 const TOKEN_LIFETIME: Span = Span::from_secs(10);
-/// A re-send is also granted where none was for this long.
+/// A re-send is granted without a token if none was granted for this long.
 const FLOOR_INTERVAL: Span = Span::from_secs(1);
 
 /// The retry budget of one server.
@@ -19,6 +22,7 @@
 }
 
 impl RetryBudget {
+    /// Expires units in proportion to the time since the last update: units * elapsed / `TOKEN_LIFETIME`.
     fn expire(&mut self, now: Moment) {
         let elapsed = u128::from(now.since(self.updated_at).micros());
         let expired = u128::from(self.units) * elapsed / u128::from(TOKEN_LIFETIME.micros());
@@ -26,17 +30,17 @@
         self.updated_at = now;
     }
 
-    /// A session is sent to the server for the first time.
+    /// Deposits a tenth of a token, for the first INVITE of a session sent to the server.
     pub fn deposit(&mut self, now: Moment) {
         self.expire(now);
-        self.units += DEPOSIT;
+        self.units += DEPOSIT_UNITS;
     }
 
-    /// What grants a re-send: a token, otherwise the floor; none where it may not be sent.
+    /// Grants a re-send by a token, or by the floor if no token is left. Returns `None` if it may not be sent.
     pub fn withdraw(&mut self, now: Moment) -> Option<BudgetGrant> {
         self.expire(now);
-        let grant = if self.units >= TOKEN {
-            self.units -= TOKEN;
+        let grant = if self.units >= TOKEN_UNITS {
+            self.units -= TOKEN_UNITS;
             BudgetGrant::Token
         } else if self.last_resend_at.is_none_or(|last| now.since(last) >= FLOOR_INTERVAL) {
             BudgetGrant::Floor
@@ -47,11 +51,11 @@
         Some(grant)
     }
 
-    /// A re-send that was granted is not sent to the server after all: its token is returned.
+    /// Returns the token of a re-send that was granted but is not sent to the server.
     pub fn refund(&mut self, now: Moment, grant: BudgetGrant) {
         self.expire(now);
         if grant == BudgetGrant::Token {
-            self.units += TOKEN;
+            self.units += TOKEN_UNITS;
         }
     }
 }
--- a/crates/ochrelead-core/src/state.rs
+++ b/crates/ochrelead-core/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that the controller keeps. No decision is made here.
+//! The state of the controller. No decision is made here.
 
 mod server;
 
@@ -13,18 +13,18 @@
 use crate::time::{Moment, Span};
 use crate::types::{BudgetGrant, CallRequest, InviteOutcome};
 
-/// A service: the part of its configuration that decisions use, and its demand.
+/// The part of a service's configuration that decisions use, and its demand.
 pub(crate) struct ServiceState {
     /// The value of a session, in multiples of the value of the cheapest service.
     pub(crate) value: f64,
-    /// The share of the value that is left after the latency objective.
+    /// The share of the value that remains after the latency objective.
     pub(crate) late_value_share: f64,
     pub(crate) latency_objective: Span,
-    /// The numbers of the servers that serve it; empty where any does.
+    /// The numbers of the servers that serve it; empty if all servers do.
     pub(crate) servers: Vec<i64>,
     pub(crate) is_retryable: bool,
     mean_hold_time: Span,
-    /// The sessions requested so far.
+    /// Number of sessions requested since the front started.
     pub(crate) requests: f64,
 }
 
@@ -42,7 +42,8 @@
     }
 }
 
-/// The mean hold time over all services by their demand, in seconds; zero where there was no request yet.
+/// Returns the mean hold time of a call in seconds, over all services weighted by their demand; zero before the
+/// first request.
 pub(crate) fn mean_hold_time_s(services: &IndexVec<ServiceIx, ServiceState>) -> f64 {
     let hold_time = |service: &ServiceState| {
         let seconds = service.mean_hold_time.ratio(Span::from_secs(1));
@@ -54,7 +55,7 @@
 
 /// The quota of a tenant at one front, and its demand there.
 pub(crate) struct TenantQuota {
-    /// An even part, for one front, of the tenant's quota, in sessions a second.
+    /// One front's even part of the tenant's quota, in sessions per second.
     pub(crate) rate_per_s: f64,
     pub(crate) demand: SlidingWindow<16>,
 }
@@ -65,27 +66,27 @@
     }
 }
 
-/// A session that has no final answer yet, or one whose INVITE is still outstanding.
+/// A session without a final answer, or with an outstanding INVITE.
 pub(crate) struct SessionState {
     pub(crate) request: CallRequest,
     pub(crate) requested_at: Moment,
-    /// When its caller first tried, as far as that is known.
+    /// When its caller first requested it, including earlier attempts that are known.
     pub(crate) first_tried_at: Moment,
     pub(crate) invites_sent: u32,
-    /// The INVITE that waits for its answer.
+    /// The INVITE that is waiting for its answer.
     pub(crate) outstanding: Option<OutstandingInvite>,
-    /// The call is established, or the caller has gone: once the INVITE has ended the session is over.
+    /// The call is established or the caller is gone; the session is over when its INVITE ends.
     pub(crate) is_settled: bool,
-    /// When a decision is due.
+    /// When a decision on the session is due; `None` while none is scheduled.
     due_at: Option<Moment>,
-    /// The next INVITE waits for this moment.
+    /// The earliest time of the next INVITE.
     pub(crate) not_before: Moment,
-    /// What the next INVITE has already taken from a retry budget.
+    /// The grant that the next INVITE has already taken from a retry budget.
     pub(crate) reservation: Option<BudgetReservation>,
-    /// Servers that failed this session.
+    /// Servers at which an INVITE of this session failed.
     pub(crate) excluded_servers: Vec<ServerIx>,
     pub(crate) last_outcome: Option<InviteOutcome>,
-    /// The random number, from 0 to 1, that decides where servers admit a share of the sessions only.
+    /// Random number from 0 to 1 from which [`sample`](Self::sample) derives the session's samples.
     sampling_key: f64,
 }
 
@@ -107,36 +108,38 @@
         }
     }
 
-    /// An INVITE is sent to the server at `now`; what was reserved for it is used up.
+    /// Records an INVITE sent to the server at `now`, which uses up the reservation.
     pub(crate) fn record_invite(&mut self, now: Moment, server: ServerIx) {
         self.reservation = None;
         self.outstanding = Some(OutstandingInvite { server, sent_at: now });
         self.invites_sent += 1;
     }
 
-    /// The session's random number for one server: another for each server, but the same each time. Multiples
-    /// of the golden ratio lie far apart between 0 and 1, so one random number serves for all servers.
+    /// Returns the session's sample for one server, from 0 to 1: constant for a session and a server, and
+    /// different between servers. A server that admits a share of the sessions compares it with that share.
+    /// The fractional parts of multiples of the golden ratio are evenly spread over 0 to 1, so one random number
+    /// is enough for all servers.
     pub(crate) fn sample(&self, server: ServerIx) -> f64 {
         const GOLDEN_RATIO: f64 = 0.618_034;
         (self.sampling_key + GOLDEN_RATIO * server.index() as f64).fract()
     }
 }
 
-/// An INVITE that waits for its answer.
+/// An INVITE that is waiting for its answer.
 #[derive(Clone, Copy)]
 pub(crate) struct OutstandingInvite {
     pub(crate) server: ServerIx,
     pub(crate) sent_at: Moment,
 }
 
-/// What a re-send that still waits has taken from the retry budget of a server.
+/// The grant that a re-send in its resend delay has taken from the retry budget of a server.
 #[derive(Clone, Copy)]
 pub(crate) struct BudgetReservation {
     pub(crate) server: ServerIx,
     pub(crate) grant: BudgetGrant,
 }
 
-/// Sessions by their index, and in the order in which decisions on them are due.
+/// Sessions by index, and a queue of them in the order in which decisions are due.
 #[derive(Default)]
 pub(crate) struct Sessions {
     states: IndexVec<SessionIx, Option<SessionState>>,
@@ -167,7 +170,7 @@
         Some(state)
     }
 
-    /// A decision on the session is due at that moment.
+    /// Schedules a decision on the session.
     pub(crate) fn schedule(&mut self, session: SessionIx, due_at: Moment) {
         if let Some(state) = self.get_mut(session) {
             state.due_at = Some(due_at);
@@ -179,8 +182,7 @@
         self.due.first().map(|(due_at, _)| *due_at)
     }
 
-    /// The session on which a decision has been due for longest, where one is due at `now`. It is no longer
-    /// due.
+    /// Takes the session with the earliest decision due out of the queue; `None` if none is due at `now`.
     pub(crate) fn pop_due(&mut self, now: Moment) -> Option<SessionIx> {
         self.next_due_at().filter(|due_at| *due_at <= now)?;
         let (_, session) = self.due.pop_first()?;
@@ -191,18 +193,20 @@
     }
 }
 
-/// What is known of a called number.
+/// The state of a called number.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct CalledNumberState {
+    /// When a session to it was first requested, in the current run of redials.
     pub(crate) first_tried_at: Moment,
     /// When a session to it was last rejected.
     pub(crate) rejected_at: Option<Moment>,
+    /// No INVITE is sent to the number before this time.
     pub(crate) busy_until: Moment,
-    /// How often its lines were busy, since a call to it was last established.
+    /// Number of INVITEs that met busy lines since a call to the number was last established.
     pub(crate) busy_count: u32,
 }
 
-/// Called numbers by their index.
+/// Called numbers by index.
 #[derive(Default)]
 pub(crate) struct CalledNumbers(IndexVec<CalledNumberIx, CalledNumberState>);
 
--- a/crates/ochrelead-core/src/state/server.rs
+++ b/crates/ochrelead-core/src/state/server.rs
@@ -1,4 +1,4 @@
-//! The state of a signalling server, as one front sees it.
+//! The state of a signalling server as observed by one front.
 
 use crate::index::SessionIx;
 use crate::retry_budget::RetryBudget;
@@ -6,87 +6,88 @@
 use crate::time::{Moment, Span};
 use crate::types::{LineCapacity, LoadReport};
 
-/// What is known of a signalling server.
+/// Observations and estimates of a signalling server.
 pub(crate) struct ServerState {
+    /// The number by which destinations name the server; -1 before the first discovery update.
     pub(crate) number: i64,
     /// Whether discovery lists it as ready for new sessions.
     pub(crate) is_ready: bool,
     pub(crate) started_at: Option<Moment>,
     pub(crate) retry_budget: RetryBudget,
-    /// It counts as warming up until then.
+    /// The server is warming up before this time.
     pub(crate) warming_up_until: Moment,
-    /// The INVITEs sent, over the time in which a server that is warming up breaks down under overload.
+    /// INVITEs sent within the overload duration.
     pub(crate) sends: SlidingWindow<4>,
-    /// The answers a second that this front had from it before its last start, where it had any.
+    /// Answers per second to this front before the last restart; `None` if there were none.
     pub(crate) rate_before_restart: Option<f64>,
-    /// The sessions whose destination it was, over the long term.
+    /// Requested sessions whose destination it is, in the long-term window.
     pub(crate) demand: SlidingWindow<16>,
-    /// As last reported, the free ones less the INVITEs sent since; zero where none were reported.
+    /// The lines last reported, with free lines reduced by the INVITEs sent since; zero without a report.
     pub(crate) lines: LineCapacity,
-    /// When its lines were last reported.
     pub(crate) lines_reported_at: Moment,
     lines_in_use: GaugeWindow<4>,
-    /// The sessions a second that it sets up for all fronts, estimated from its lines.
+    /// Sessions per second that it sets up for all fronts, estimated from its lines.
     pub(crate) setup_rate: Option<f64>,
-    /// How many of its lines are released in a second.
+    /// Estimated number of its lines that are released per second.
     pub(crate) line_release_rate: f64,
-    /// The sessions a second, from all fronts, that would fill all its lines.
+    /// Sessions per second from all fronts that would keep all its lines in use.
     pub(crate) line_fill_rate: f64,
-    /// What it last reported of its processor, and when.
+    /// The last report of its processor load.
     pub(crate) load_report: LoadReport,
     pub(crate) load_reported_at: Moment,
-    /// The INVITEs that wait for an answer, oldest first.
+    /// INVITEs that are waiting for an answer, oldest first.
     pub(crate) in_flight: Vec<InFlightInvite>,
-    /// Its answer times, of the last seconds and over the long term.
+    /// Answer times in the window over recent events.
     pub(crate) recent_answers: SlidingWindow<8>,
+    /// Answer times in the long-term window.
     pub(crate) long_term_answers: SlidingWindow<16>,
-    /// The latest answer, or the latest INVITE that timed out.
+    /// The latest answer time, or the waiting time of an INVITE that timed out since.
     pub(crate) latest_answer: Option<AnswerSample>,
-    /// When anything was last received from it.
+    /// When an answer was last received from it, or when it was added or restarted.
     pub(crate) last_heard_at: Moment,
     pub(crate) last_attempt_failed: bool,
-    /// When the newest of the INVITEs that it answered was sent.
+    /// When the newest INVITE that it answered was sent.
     pub(crate) newest_answered_sent_at: Moment,
-    /// Its answers are assumed to get lost until then.
+    /// Its answers are assumed to get lost before this time.
     pub(crate) answers_lossy_until: Moment,
     /// Set while outlier detection has ejected it.
     pub(crate) ejection: Option<Ejection>,
-    /// Its weight in the draw, as discovery lists it.
+    /// The weight listed by discovery.
     pub(crate) listed_weight: f64,
-    /// The share of that weight which its recent set-ups leave it, from 0 to 1, as of the moment below.
+    /// Factor from 0 to 1 on the listed weight, reduced by slow answers and failures, at `weight_updated_at`.
     pub(crate) weight_factor: f64,
     pub(crate) weight_updated_at: Moment,
-    /// The share of the sessions that it admits while its zone is left or re-entered; otherwise 1.
+    /// Share of the sessions that it admits while traffic leaves or re-enters its zone; otherwise 1.
     pub(crate) zone_share: f64,
 }
 
-/// An INVITE that waits for an answer of a server.
+/// An INVITE that is waiting for a server's answer.
 #[derive(Clone, Copy)]
 pub(crate) struct InFlightInvite {
     pub(crate) sent_at: Moment,
     pub(crate) session: SessionIx,
 }
 
-/// How long one answer took.
+/// One answer time.
 #[derive(Clone, Copy)]
 pub(crate) struct AnswerSample {
     pub(crate) received_at: Moment,
     pub(crate) took: Span,
 }
 
-/// An ejected server is left alone for the backoff, then probed with one session.
+/// The ejection of a server: it gets no sessions during the backoff, then one session as a probe.
 #[derive(Clone, Copy)]
 pub(crate) struct Ejection {
-    /// The next probe may be sent then.
+    /// The earliest time of the next probe.
     pub(crate) until: Moment,
     pub(crate) backoff: Span,
-    /// A probe waits for its answer.
+    /// A probe is waiting for its answer.
     pub(crate) probe_in_flight: bool,
-    /// It answers, but with failures.
+    /// The server was ejected for failure answers, so it can be reached.
     pub(crate) for_faults: bool,
 }
 
-/// The widths of the buckets of a server's windows.
+/// Bucket widths of a server's windows.
 #[derive(Clone, Copy)]
 pub(crate) struct BucketWidths {
     pub(crate) sends: Span,
@@ -96,7 +97,7 @@
 }
 
 impl ServerState {
-    /// A server that the front learns of at `now`.
+    /// Returns the state of a server that discovery first lists at `now`.
     pub(crate) fn new(now: Moment, widths: BucketWidths) -> Self {
         ServerState {
             number: -1,
@@ -135,13 +136,13 @@
         self.ejection.is_some()
     }
 
-    /// Recent answers a second.
+    /// Returns the recent answers per second.
     pub(crate) fn answer_rate(&self, now: Moment) -> f64 {
         let seconds = self.recent_answers.duration().ratio(Span::from_secs(1));
         f64::from(self.recent_answers.stats(now).count) / seconds
     }
 
-    /// An INVITE of the session is sent to it; while it is ejected that is its probe.
+    /// Records an INVITE of the session sent to the server, which is a probe if the server is ejected.
     pub(crate) fn record_invite(&mut self, now: Moment, session: SessionIx) {
         self.in_flight.push(InFlightInvite { sent_at: now, session });
         if let Some(ejection) = &mut self.ejection {
@@ -151,12 +152,12 @@
         self.lines.free = self.lines.free.saturating_sub(1);
     }
 
-    /// The session's INVITE no longer waits for an answer.
+    /// Removes the session's INVITE from those that are waiting for an answer.
     pub(crate) fn remove_invite(&mut self, session: SessionIx) {
         self.in_flight.retain(|invite| invite.session != session);
     }
 
-    /// It has answered an INVITE that was sent at `sent_at`.
+    /// Records the server's answer to an INVITE that was sent at `sent_at`.
     pub(crate) fn record_answer(&mut self, now: Moment, sent_at: Moment, took: Span) {
         self.recent_answers.record(now, took);
         self.long_term_answers.record(now, took);
@@ -166,7 +167,9 @@
         self.last_attempt_failed = false;
     }
 
-    /// It has reported its lines; `mean_hold_time_s` is zero where that is unknown.
+    /// Records a line report and estimates the rates from it, in sessions per second:
+    /// release rate = mean lines in use / mean hold time, set-up rate = release rate + change of lines in use per
+    /// second, fill rate = total lines / mean hold time. `mean_hold_time_s` is zero if it is unknown.
     pub(crate) fn update_lines(&mut self, now: Moment, lines: LineCapacity, mean_hold_time_s: f64) {
         self.lines = lines;
         self.lines_reported_at = now;
@@ -179,7 +182,7 @@
             if is_hold_time_known { f64::from(lines.total) / mean_hold_time_s } else { 0.0 };
     }
 
-    /// It has restarted: what was observed of the former process no longer counts.
+    /// Discards the observations of the former process after a restart, but keeps its answer rate.
     pub(crate) fn restart(&mut self, now: Moment, warming_up_until: Moment) {
         let had_answers = self.long_term_answers.stats(now).count > 0;
         self.rate_before_restart = had_answers.then(|| self.long_term_answers.rate(now, Moment::START));
