--- a/crates/ochrelead-benchlink/src/error.rs
+++ b/crates/ochrelead-benchlink/src/error.rs
@@ -1,28 +1,28 @@
-//! What can be wrong with a batch or an event.
+//! Errors in batches and events.
 
 use thiserror::Error;
 
-/// Why a batch can't be answered at all.
+/// An error for which a batch cannot be answered.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum BatchError {
     /// The line is not JSON.
-    #[error("not JSON: {0}")]
+    #[error("batch is not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// The batch does not say what time it is.
-    #[error("no clock (momentMs)")]
+    /// The batch has no valid time.
+    #[error("batch has no clock: momentMs is missing or not a non-negative number")]
     MissingClock,
     /// The parts of the batch are not an array.
-    #[error("parts is not an array")]
+    #[error("batch field parts is not an array")]
     PartsNotArray,
 }
 
-/// Something wrong in a batch that was answered all the same.
+/// An error in a batch that was answered nevertheless.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum Diagnostic {
     /// A part of the batch names no instance.
-    #[error("part {part}: no instance (who)")]
+    #[error("part {part}: no instance: who is missing or not a non-negative integer")]
     MissingInstance {
         /// The position of the part in the batch.
         part: usize,
@@ -34,7 +34,7 @@
         instance: u64,
         /// The position of the event among those of its part.
         event: usize,
-        /// What is wrong with it.
+        /// Why the event was not processed.
         #[source]
         error: EventError,
     },
@@ -44,52 +44,52 @@
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum EventError {
-    /// The event is not an object with its name as the one key.
-    #[error("not an object with one key")]
+    /// The event is not an object whose only key is the name of the event.
+    #[error("event is not an object with exactly one key, its name")]
     NotAnEvent,
-    /// The instance was never started.
-    #[error("{event}: it never had its Hello")]
+    /// The instance has not been started.
+    #[error("{event}: instance has not been started by a Hello")]
     NotStarted {
         /// The name of the event.
         event: String,
     },
-    /// The event lacks a field that it needs.
-    #[error("{event}: no {field}")]
+    /// A required field is missing or of another type.
+    #[error("{event}: no {field}: required field is missing or invalid")]
     MissingField {
         /// The name of the event.
         event: &'static str,
         /// The name of the field.
         field: &'static str,
     },
-    /// The event lacks a field that events of several kinds need.
-    #[error("no {0}")]
+    /// A field that several kinds of events require is missing or of another type.
+    #[error("no {0}: required field is missing or invalid")]
     MissingCommonField(&'static str),
-    /// An entry of a list names no server.
-    #[error("Page: an entry without server")]
+    /// An entry of an endpoint list names no server.
+    #[error("Page: entry of membersList has no server")]
     EntryWithoutServer,
-    /// The event refers to a list that was not sent.
-    #[error("Endpoints: no such list")]
+    /// The event refers to an endpoint list that has not been sent.
+    #[error("Endpoints: setId refers to a list that no Page has sent")]
     UnknownList,
-    /// A field has a value that the wire does not define, or that names nothing known.
+    /// A field has a value that is not defined or refers to nothing known.
     #[error("{event}: unknown {field} {value}")]
     UnknownValue {
         /// The name of the event.
         event: &'static str,
         /// The name of the field.
         field: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: String,
     },
-    /// A session was requested with the id of another.
-    #[error("Inbound: {id} came before")]
+    /// A session was requested with the id of a session that is not over.
+    #[error("Inbound: session id {id} is already in use")]
     DuplicateSession {
         /// The id of the session.
         id: String,
     },
-    /// An INVITE ended at a server that no list has named.
-    #[error("Settled: unknown server")]
+    /// An INVITE ended at a server that no endpoint list has named.
+    #[error("Settled: server is in no endpoint list received")]
     UnknownServer,
-    /// The settings of an instance can't be read.
-    #[error("Hello: facts: {0}")]
+    /// The settings of an instance cannot be read.
+    #[error("Hello: reading the settings in facts: {0}")]
     Settings(#[source] serde_json::Error),
 }
--- a/crates/ochrelead-benchlink/src/fields.rs
+++ b/crates/ochrelead-benchlink/src/fields.rs
@@ -5,38 +5,38 @@
 
 use crate::error::EventError;
 
-/// A whole number that is not negative, where there is one.
-pub(crate) fn whole_number(object: &Value, key: &str) -> Option<u64> {
+/// Returns a non-negative integer field, if present and of that type.
+pub(crate) fn unsigned(object: &Value, key: &str) -> Option<u64> {
     object.get(key).and_then(Value::as_u64)
 }
 
-/// A whole number, where there is one.
+/// Returns an integer field, if present and of that type.
 pub(crate) fn integer(object: &Value, key: &str) -> Option<i64> {
     object.get(key).and_then(Value::as_i64)
 }
 
-/// A text, where there is one.
+/// Returns a string field, if present and of that type.
 pub(crate) fn text<'a>(object: &'a Value, key: &str) -> Option<&'a str> {
     object.get(key).and_then(Value::as_str)
 }
 
-/// Whether a field is there and true.
+/// Returns whether a field is present and `true`.
 pub(crate) fn flag(object: &Value, key: &str) -> bool {
     object.get(key).and_then(Value::as_bool).unwrap_or(false)
 }
 
-/// A moment in milliseconds, where there is one.
+/// Returns a field with a point in time in milliseconds, if present, finite and not negative.
 pub(crate) fn moment(object: &Value, key: &str) -> Option<Moment> {
     let ms = object.get(key)?.as_f64().filter(|ms| ms.is_finite() && *ms >= 0.0)?;
     Some(Moment::from_micros((ms * 1_000.0).round() as u64))
 }
 
-/// A span of time in milliseconds, as the wire has it.
+/// Converts a duration to the milliseconds of the wire.
 pub(crate) fn millis(span: Span) -> f64 {
     span.micros() as f64 / 1_000.0
 }
 
-/// A field of an event that the event needs.
+/// Returns the value of a field that an event must have, or an error if it is missing.
 pub(crate) fn required<T>(
     value: Option<T>,
     event: &'static str,
--- a/crates/ochrelead-benchlink/src/front.rs
+++ b/crates/ochrelead-benchlink/src/front.rs
@@ -1,4 +1,4 @@
-//! One instance: its events become calls of the controller, the controller's decisions its actions.
+//! One instance: translates its events to calls of the controller, and the controller's decisions to actions.
 
 use ochrelead_core::controller::Controller;
 use ochrelead_core::index::{ServerIx, ServiceIx, SessionIx, TenantIx};
@@ -10,16 +10,16 @@
 use serde_json::{Value, json};
 
 use crate::error::EventError;
-use crate::fields::{flag, integer, millis, moment, required, text, whole_number};
+use crate::fields::{flag, integer, millis, moment, required, text, unsigned};
 use crate::id_table::IdTable;
 
-/// The low bits of a rejection's `why` are its reason; above them is the retry-after in milliseconds.
+/// Number of low bits of `why` that hold the reason of a rejection; the bits above hold the retry-after in ms.
 const REASON_BITS: u32 = 4;
 const REASON_MASK: u64 = (1 << REASON_BITS) - 1;
 const REASON_NO_LINE: u64 = 1;
 const REASON_LINES_BUSY: u64 = 4;
 
-/// One entry of a numbered list.
+/// One entry of a numbered endpoint list.
 pub(crate) struct Endpoint {
     server: u64,
     number: i64,
@@ -27,7 +27,7 @@
 }
 
 impl Endpoint {
-    /// Reads an entry.
+    /// Reads an entry of `Page`.
     pub(crate) fn read(entry: &Value) -> Result<Endpoint, EventError> {
         let started = moment(entry, "startTimeMs").filter(|started| *started > Moment::START);
         let state = match text(entry, "availability") {
@@ -36,29 +36,29 @@
             Some("gone") => EndpointState::Gone,
             Some(other) => return Err(unknown_value("Page", "availability", &other)),
         };
-        let server = whole_number(entry, "server").ok_or(EventError::EntryWithoutServer)?;
+        let server = unsigned(entry, "server").ok_or(EventError::EntryWithoutServer)?;
         Ok(Endpoint { server, number: integer(entry, "number").unwrap_or(0), state })
     }
 }
 
-/// One instance.
+/// One instance of the controller on the wire.
 pub(crate) struct Front {
     controller: Controller,
     ids: IdTable,
     services: usize,
-    /// Whether lists come only after they were asked for.
+    /// Whether endpoint lists are sent only on request.
     lists_on_request: bool,
-    /// Whether the list is to be asked for in the next reply.
+    /// Whether the next reply requests the endpoint list.
     request_list: bool,
-    /// The earliest timer that is pending.
+    /// When the earliest pending timer fires.
     timer_at: Option<Moment>,
 }
 
 impl Front {
-    /// Starts an instance by its `Hello`.
+    /// Starts an instance from the body of its `Hello`.
     pub(crate) fn start(body: &Value, now: Moment) -> Result<Front, EventError> {
         let settings = Settings::parse(body.get("facts")).map_err(EventError::Settings)?;
-        let config = settings.controller_config(whole_number(body, "initSeed").unwrap_or(0));
+        let config = settings.controller_config(unsigned(body, "initSeed").unwrap_or(0));
         let lists_on_request = settings.discovery == "on_request";
         Ok(Front {
             controller: Controller::new(&config, now),
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Handles `Endpoints`; `list` is the list that it refers to, where that was sent.
+    /// Handles `Endpoints`. `list` is the list that it refers to, if that list has been sent.
     pub(crate) fn update_endpoints(
         &mut self,
         scope: &str,
@@ -100,7 +100,8 @@
         Ok(())
     }
 
-    /// Handles any other event of a started instance. One of an unknown name is ignored, as the wire may grow.
+    /// Handles any other event of a started instance. Events with an unknown name are ignored, so that later
+    /// versions of the wire can add events.
     pub(crate) fn handle_event(&mut self, name: &str, body: &Value, now: Moment) -> Result<(), EventError> {
         self.controller.advance_to(now);
         match name {
@@ -129,7 +130,7 @@
 
     fn handle_call_request(&mut self, body: &Value) -> Result<(), EventError> {
         let id = required(text(body, "req"), "Inbound", "req")?;
-        let lane = whole_number(body, "lane").unwrap_or(0);
+        let lane = unsigned(body, "lane").unwrap_or(0);
         let service = usize::try_from(lane).ok().filter(|service| *service < self.services);
         let service = service.ok_or_else(|| unknown_value("Inbound", "lane", &lane))?;
         let deadline = required(moment(body, "dropDeadMs"), "Inbound", "dropDeadMs")?;
@@ -160,9 +161,10 @@
         Ok(())
     }
 
-    /// Passes on what an event says of its server's lines and load; the server, where it is known.
+    /// Passes an event's report of its server's lines and load to the controller. Returns the server, or `None`
+    /// if no list has named it.
     fn report_server(&mut self, body: &Value) -> Result<Option<ServerIx>, EventError> {
-        let id = whole_number(body, "server").ok_or(EventError::MissingCommonField("server"))?;
+        let id = unsigned(body, "server").ok_or(EventError::MissingCommonField("server"))?;
         let Some(server) = self.ids.server_index(id) else { return Ok(None) };
         if let Some(lines) = line_capacity(body) {
             self.controller.on_line_capacity(server, lines);
@@ -171,13 +173,13 @@
         Ok(Some(server))
     }
 
-    /// The session that an event names; none where it is over.
+    /// Returns the session that an event names, or `None` if it is over or unknown.
     fn session(&self, body: &Value) -> Result<Option<SessionIx>, EventError> {
         let id = text(body, "req").ok_or(EventError::MissingCommonField("req"))?;
         Ok(self.ids.session_index(id))
     }
 
-    /// The decisions of this turn as actions on the wire.
+    /// Returns the decisions that are due at `now`, and the timer for the next ones, as actions on the wire.
     pub(crate) fn actions(&mut self, now: Moment) -> Vec<Value> {
         self.controller.advance_to(now);
         let mut actions = Vec::new();
@@ -209,18 +211,18 @@
                 json!({"Deliver": fields})
             }
             Decision::Reject { session, retry_after } => {
-                let mut fields = json!({"req": self.answer(session)});
+                let mut fields = json!({"req": self.mark_answered(session)});
                 if let Some(retry_after) = retry_after {
                     fields["comeBackMs"] = json!(millis(retry_after));
                 }
                 json!({"SayNo": fields})
             }
-            Decision::Fail { session } => json!({"Fail": {"req": self.answer(session)}}),
+            Decision::Fail { session } => json!({"Fail": {"req": self.mark_answered(session)}}),
         }
     }
 
-    /// The session has its final answer; its id.
-    fn answer(&mut self, session: SessionIx) -> String {
+    /// Marks the session as answered, removes it if it is over, and returns its id.
+    fn mark_answered(&mut self, session: SessionIx) -> String {
         let state = self.ids.session_mut(session);
         state.is_answered = true;
         let id = state.id.clone();
@@ -233,16 +235,16 @@
     EventError::UnknownValue { event, field, value: value.to_string() }
 }
 
-/// The tenant of a request, by the low 32 bits of its number.
+/// Returns the tenant of a request: the low 32 bits of `clientGroup`, 0 if missing.
 fn tenant(body: &Value) -> TenantIx {
-    let number = whole_number(body, "clientGroup").unwrap_or(0) & u64::from(u32::MAX);
+    let number = unsigned(body, "clientGroup").unwrap_or(0) & u64::from(u32::MAX);
     TenantIx::new(number as usize)
 }
 
 fn invite_outcome(body: &Value) -> Result<InviteOutcome, EventError> {
-    let why = whole_number(body, "why").unwrap_or(0);
+    let why = unsigned(body, "why").unwrap_or(0);
     let (reason, retry_after) = (why & REASON_MASK, Span::from_millis(why >> REASON_BITS));
-    Ok(match required(whole_number(body, "result"), "Settled", "result")? {
+    Ok(match required(unsigned(body, "result"), "Settled", "result")? {
         0 => InviteOutcome::Failed { lines_busy: reason == REASON_LINES_BUSY },
         1 => InviteOutcome::Released,
         2 => InviteOutcome::Rejected {
@@ -258,13 +260,13 @@
     })
 }
 
-/// The lines that an event reports of its server; none where it does not. They count in 32 bits.
+/// Returns the lines that an event reports, if it has both numbers; each is truncated to 32 bits.
 fn line_capacity(body: &Value) -> Option<LineCapacity> {
     let lines = |name: &str| body.get("telemetry")?.get(name)?.as_u64().map(|lines| lines as u32);
     Some(LineCapacity { free: lines("free")?, total: lines("size")? })
 }
 
-/// What an event reports of its server's processor; a negative number counts as none.
+/// Returns the processor load that an event reports; a missing or negative number is `None`.
 fn load_report(body: &Value) -> LoadReport {
     let number = |name: &str| body.get("telemetry")?.get(name)?.as_f64().filter(|number| *number >= 0.0);
     LoadReport { accepted_rate: number("can_take"), hold_back_share: number("hold_back") }
--- a/crates/ochrelead-benchlink/src/host.rs
+++ b/crates/ochrelead-benchlink/src/host.rs
@@ -1,4 +1,4 @@
-//! All instances of one process.
+//! The instances of one process.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,15 +6,15 @@
 use serde_json::{Value, json};
 
 use crate::error::{BatchError, Diagnostic, EventError};
-use crate::fields::{moment, required, text, whole_number};
+use crate::fields::{moment, required, text, unsigned};
 use crate::front::{Endpoint, Front};
 
-/// All instances of one process. They share nothing but the numbered lists of endpoints.
+/// The instances of one process. They share the numbered endpoint lists and nothing else.
 #[derive(Default)]
 pub struct Host {
     fronts: HashMap<u64, Front>,
     lists: BTreeMap<u64, Vec<Endpoint>>,
-    /// What was wrong with the batches but did not keep them from being answered.
+    /// Errors in parts and events of batches that were answered nevertheless. The caller drains them.
     pub diagnostics: Vec<Diagnostic>,
 }
 
@@ -23,7 +23,8 @@
     ///
     /// # Errors
     ///
-    /// Where there can be no reply; what is wrong with single events goes to [`diagnostics`](Self::diagnostics).
+    /// If the batch as a whole cannot be answered. Errors in single parts and events are added to
+    /// [`diagnostics`](Self::diagnostics) instead.
     pub fn process(&mut self, line: &str) -> Result<String, BatchError> {
         let batch: Value = serde_json::from_str(line).map_err(BatchError::NotJson)?;
         let now = moment(&batch, "momentMs").ok_or(BatchError::MissingClock)?;
@@ -33,7 +34,7 @@
         };
         let mut instances = Vec::new();
         for (position, part) in parts.iter().enumerate() {
-            let Some(instance) = whole_number(part, "who") else {
+            let Some(instance) = unsigned(part, "who") else {
                 self.diagnostics.push(Diagnostic::MissingInstance { part: position });
                 continue;
             };
@@ -83,14 +84,14 @@
             return front.handle_event(name, body, now);
         }
         let scope = required(text(body, "scope"), "Endpoints", "scope")?;
-        let list = whole_number(body, "setId").and_then(|list| self.lists.get(&list));
+        let list = unsigned(body, "setId").and_then(|list| self.lists.get(&list));
         front.update_endpoints(scope, list.map(Vec::as_slice), now)
     }
 
     fn store_list(&mut self, body: &Value) -> Result<(), EventError> {
         let entries = required(body.get("membersList").and_then(Value::as_array), "Page", "membersList")?;
         let endpoints = entries.iter().map(Endpoint::read).collect::<Result<_, _>>()?;
-        self.lists.insert(required(whole_number(body, "setId"), "Page", "setId")?, endpoints);
+        self.lists.insert(required(unsigned(body, "setId"), "Page", "setId")?, endpoints);
         Ok(())
     }
 }
--- a/crates/ochrelead-benchlink/src/id_table.rs
+++ b/crates/ochrelead-benchlink/src/id_table.rs
@@ -1,15 +1,16 @@
-//! The ids on the wire as small indices, and indices as ids again.
+//! Maps the ids on the wire to dense indices, and indices back to ids.
 
 use std::collections::HashMap;
 
 use ochrelead_core::index::{CalledNumberIx, ServerIx, SessionIx};
 use slab::Slab;
 
-/// A session as the wire knows it.
+/// A session on the wire.
 pub(crate) struct Session {
     pub(crate) id: String,
-    /// How many of its INVITEs have not ended.
+    /// Number of its INVITEs that have not ended.
     pub(crate) open_invites: u64,
+    /// Whether the caller has the final answer, or has gone.
     pub(crate) is_answered: bool,
 }
 
@@ -24,7 +25,7 @@
 }
 
 impl IdTable {
-    /// Adds a session; none where the id is known already.
+    /// Adds a session and returns its index; `None` if the id is already in use.
     pub(crate) fn add_session(&mut self, id: &str) -> Option<SessionIx> {
         if self.session_indices.contains_key(id) {
             return None;
@@ -35,17 +36,17 @@
         Some(index)
     }
 
-    /// The index of a session; none where it is over or was never there.
+    /// Returns the index of a session; `None` if the session is over or the id is unknown.
     pub(crate) fn session_index(&self, id: &str) -> Option<SessionIx> {
         self.session_indices.get(id).copied()
     }
 
-    /// A session that is not over.
+    /// Returns a session that is not over.
     pub(crate) fn session_mut(&mut self, index: SessionIx) -> &mut Session {
         &mut self.sessions[index.index()]
     }
 
-    /// Frees the index of a session that is answered and has no open INVITE.
+    /// Removes the session and frees its index if it is answered and has no open INVITE.
     pub(crate) fn remove_if_over(&mut self, index: SessionIx) {
         let session = &self.sessions[index.index()];
         if session.is_answered && session.open_invites == 0 {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The index of a server, which is added where it is new.
+    /// Returns the index of a server; adds the server if it is new.
     pub(crate) fn add_server(&mut self, id: u64) -> ServerIx {
         *self.server_indices.entry(id).or_insert_with(|| {
             self.server_ids.push(id);
@@ -62,17 +63,17 @@
         })
     }
 
-    /// The index of a server that has been added.
+    /// Returns the index of a server; `None` if it has not been added.
     pub(crate) fn server_index(&self, id: u64) -> Option<ServerIx> {
         self.server_indices.get(&id).copied()
     }
 
-    /// The id of a server.
+    /// Returns the id of a server.
     pub(crate) fn server_id(&self, server: ServerIx) -> u64 {
         self.server_ids[server.index()]
     }
 
-    /// The index of a called number, which is added where it is new.
+    /// Returns the index of a called number; adds the number if it is new.
     pub(crate) fn add_called_number(&mut self, key: &str) -> CalledNumberIx {
         if let Some(number) = self.called_numbers.get(key) {
             return *number;
--- a/crates/ochrelead-benchlink/src/lib.rs
+++ b/crates/ochrelead-benchlink/src/lib.rs
@@ -1,12 +1,12 @@
-//! Adapts the bench's wire, JSON lines of batches, to the calls of [`ochrelead_core`] and its decisions. Nothing is
-//! decided here.
+//! Adapts the simulator's wire protocol, one JSON batch per line, to the controller of [`ochrelead_core`]. No
+//! routing decision is made here.
 //!
 //! A batch carries events for the instances of one process; the reply carries the actions that they decided on.
-//! The names on the wire are the bench's own.
+//! The simulator defines the names on the wire.
 //!
-//! - [`Host`]: all instances of one process, by which batches are answered.
-//! - [`error`]: what can be wrong with a batch or an event.
-//! - `front`: one instance; `id_table`: the wire's ids as indices; `fields`: reading fields of JSON objects.
+//! - [`Host`] holds all instances of one process and answers batches.
+//! - [`error`] defines the errors in batches and events.
+//! - `front` adapts one instance, `id_table` maps ids on the wire to indices, `fields` reads fields of JSON objects.
 //!
 //! ```
 //! use ochrelead_benchlink::Host;
--- a/crates/ochrelead-benchlink/src/main.rs
+++ b/crates/ochrelead-benchlink/src/main.rs
@@ -1,4 +1,4 @@
-//! Reads batches from standard input, one a line, and writes one reply a line to standard output.
+//! Reads one batch per line from standard input and writes one reply per line to standard output.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -7,7 +7,7 @@
 use ochrelead_benchlink::error::BatchError;
 use thiserror::Error;
 
-/// Why a batch was not answered.
+/// An error that ends the program without a reply to the batch.
 #[derive(Debug, Error)]
 enum Error {
     #[error(transparent)]
