--- a/crates/ochrelead-benchlink/tests/wire.rs
+++ b/crates/ochrelead-benchlink/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The replies to handwritten batches.
+//! Replies and diagnostics for handwritten batches.
 
 use ochrelead_benchlink::Host;
 use serde_json::{Value, json};
@@ -23,14 +23,14 @@
     serde_json::from_str(&host.process(&batch).unwrap()).unwrap()
 }
 
-fn started() -> Host {
+fn started_host() -> Host {
     let mut host = Host::default();
     process(&mut host, 0, 0.0, &json!([hello(3, 1)]));
     host
 }
 
 #[test_case(&[]; "no instance")]
-#[test_case(&[9]; "a lone wake")]
+#[test_case(&[9]; "one instance, wake only")]
 fn an_empty_reply_has_the_sequence_number_of_its_batch(instances: &[u64]) {
     let mut host = Host::default();
     for instance in instances {
@@ -43,41 +43,41 @@
 
 #[test]
 fn a_session_goes_to_its_destination() {
-    let mut host = started();
+    let mut host = started_host();
     let reply = process(&mut host, 1, 0.25, &json!([{"who": 3, "msgs": [inbound("rq_a", 1)]}]));
     assert_eq!(reply["parts"][0]["decisions"][0], json!({"Deliver": {"req": "rq_a", "server": 80}}));
 }
 
 #[test]
-fn lists_are_resolved_in_the_order_of_events() {
-    let mut host = started();
-    let gone = json!([{"Page": {"setId": 1, "membersList": [{"number": 0, "server": 70, "availability": "gone"}]}},
+fn endpoint_lists_are_applied_in_the_order_of_events() {
+    let mut host = started_host();
+    let events = json!([{"Page": {"setId": 1, "membersList": [{"number": 0, "server": 70, "availability": "gone"}]}},
         {"Endpoints": {"setId": 1, "index": 2, "scope": "update"}},
         {"Page": {"setId": 1, "membersList": [{"number": 0, "server": 90}]}},
         {"Endpoints": {"setId": 1, "index": 3, "scope": "update"}}, inbound("rq_a", 0)]);
-    let reply = process(&mut host, 1, 1.0, &json!([{"who": 3, "msgs": gone}]));
+    let reply = process(&mut host, 1, 1.0, &json!([{"who": 3, "msgs": events}]));
     assert_eq!(reply["parts"][0]["decisions"][0]["Deliver"]["server"], 90);
 }
 
 #[test]
-fn a_restarted_instance_forgets_everything() {
-    let mut host = started();
+fn a_restarted_instance_has_no_state_of_the_former_one() {
+    let mut host = started_host();
     process(&mut host, 1, 1.0, &json!([{"who": 3, "msgs": [inbound("rq_a", 0)]}]));
-    let mut again = hello(3, 2);
-    let msgs = again["msgs"].as_array_mut().unwrap();
+    let mut restart = hello(3, 2);
+    let msgs = restart["msgs"].as_array_mut().unwrap();
     msgs.insert(0, json!({"Destroy": {}}));
     msgs.push(json!({"Settled": {"req": "rq_a", "sendNo": 0, "server": 70, "result": 3}}));
-    let reply = process(&mut host, 2, 2.0, &json!([again]));
+    let reply = process(&mut host, 2, 2.0, &json!([restart]));
     assert_eq!(reply, json!({"seq": 2, "parts": []}));
     assert!(host.diagnostics.is_empty(), "{:?}", host.diagnostics);
 }
 
-#[test_case(json!({"Settled": {"req": "rq_a", "server": 70, "result": 9}}), "unknown result 9"; "outcome")]
-#[test_case(json!({"Inbound": {"req": "rq_b"}}), "no dropDeadMs"; "no limit")]
+#[test_case(json!({"Settled": {"req": "rq_a", "server": 70, "result": 9}}), "unknown result 9"; "unknown outcome")]
+#[test_case(json!({"Inbound": {"req": "rq_b"}}), "no dropDeadMs"; "no deadline")]
 #[test_case(json!({"Page": {}}), "no membersList"; "no list")]
-#[test_case(json!(5), "not an object"; "no event")]
-fn a_bad_event_is_reported_and_the_rest_answered(event: Value, expected: &str) {
-    let mut host = started();
+#[test_case(json!(5), "not an object"; "not an event")]
+fn an_invalid_event_is_reported_and_the_other_events_are_answered(event: Value, expected: &str) {
+    let mut host = started_host();
     let events = vec![event, inbound("rq_c", 0)];
     let reply = process(&mut host, 7, 1.0, &json!([{"who": 3, "msgs": events}]));
     assert_eq!(reply["parts"][0]["decisions"][0]["Deliver"]["req"], "rq_c");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_instance_without_hello_is_reported() {
+fn an_event_for_an_instance_that_was_not_started_is_reported() {
     let mut host = Host::default();
     let reply = process(&mut host, 1, 1.0, &json!([{"who": 8, "msgs": [{"Wake": {"label": 1}}]}]));
     assert_eq!(reply, json!({"seq": 1, "parts": []}));
@@ -94,17 +94,17 @@
     assert!(diagnostic.contains("instance 8") && diagnostic.contains("Hello"));
 }
 
-#[test_case("{", "not JSON"; "broken line")]
+#[test_case("{", "not JSON"; "truncated JSON")]
 #[test_case(r#"{"seq": 1, "parts": []}"#, "no clock"; "no clock")]
-#[test_case(r#"{"momentMs": 1, "parts": 4}"#, "parts"; "parts that are no list")]
-fn a_batch_without_a_reply_says_why(line: &str, expected: &str) {
+#[test_case(r#"{"momentMs": 1, "parts": 4}"#, "parts"; "parts is not an array")]
+fn an_invalid_batch_is_answered_with_an_error_that_names_the_cause(line: &str, expected: &str) {
     assert!(Host::default().process(line).unwrap_err().to_string().contains(expected));
 }
 
 #[test]
-fn instances_do_not_affect_each_other() {
-    let process_turn = |hosts: &mut [Host], instance: u64, sequence: u64| {
-        let slot = instance as usize % hosts.len();
+fn replies_do_not_depend_on_which_instances_share_a_process() {
+    let process_batch = |hosts: &mut [Host], instance: u64, sequence: u64| {
+        let host = instance as usize % hosts.len();
         let msgs = match sequence {
             0 => hello(instance, instance + 5)["msgs"].clone(),
             _ => json!([
@@ -112,14 +112,14 @@
                 inbound(&format!("rq_{instance}_{sequence}x"), 7)
             ]),
         };
-        process(&mut hosts[slot], sequence, sequence as f64 * 40.0, &json!([{"who": instance, "msgs": msgs}]))
+        process(&mut hosts[host], sequence, sequence as f64 * 40.0, &json!([{"who": instance, "msgs": msgs}]))
     };
     let run = |processes: usize| -> Vec<Value> {
         let mut hosts: Vec<Host> = (0..processes).map(|_| Host::default()).collect();
-        let turns = (0..30).flat_map(|sequence| (0..3).map(move |instance| (instance, sequence)));
-        turns.map(|(instance, sequence)| process_turn(&mut hosts, instance, sequence)).collect()
+        let batches = (0..30).flat_map(|sequence| (0..3).map(move |instance| (instance, sequence)));
+        batches.map(|(instance, sequence)| process_batch(&mut hosts, instance, sequence)).collect()
     };
-    let together = run(1);
-    assert_eq!(together, run(3));
-    assert!(together.iter().any(|reply| reply.to_string().contains("Deliver")));
+    let replies = run(1);
+    assert_eq!(replies, run(3));
+    assert!(replies.iter().any(|reply| reply.to_string().contains("Deliver")));
 }
--- a/crates/ochrelead-core/tests/outlier_detection.rs
+++ b/crates/ochrelead-core/tests/outlier_detection.rs
@@ -1,9 +1,8 @@
-//! What failures, silence and slow answers of a server lead to.
+//! Reaction to failures, silence and slow answers of a server.
 
 mod support;
 
 use ochrelead_core::config::ControllerConfig;
-
 use ochrelead_core::time::Span;
 use ochrelead_core::types::{Decision, EndpointState, InviteOutcome};
 use support::{
@@ -11,21 +10,21 @@
 };
 use test_case::test_case;
 
-/// The age of what waits holds new sessions back, but the server is not ejected.
+/// The age of the waiting INVITE lowers the in-flight limit, but silence alone does not eject the server.
 #[test]
 fn a_silent_server_is_avoided_until_it_answers() {
     let mut front = Front::new(2);
     front.complete_call(0, 1, 50);
     let (session, _) = front.place_call(1_000, 0);
     let (_, decisions) = front.place_call(1_000 + OBJECTIVE_MS / 2, 0);
-    assert_eq!(invited_server(&decisions), Some(1), "the next goes elsewhere");
+    assert_eq!(invited_server(&decisions), Some(1), "the next session goes to the other server");
     front.controller.advance_to(at_ms(1_000 + OBJECTIVE_MS / 2 + 10));
     front.controller.on_call_established(session);
     let (_, decisions) = front.place_call(1_000 + OBJECTIVE_MS * 3, 0);
-    assert_eq!(invited_server(&decisions), Some(0), "an answer ends it");
+    assert_eq!(invited_server(&decisions), Some(0), "the answer restores the destination");
 }
 
-/// A probe that is never answered must not hold the next one back until its caller gives up.
+/// A probe without an answer must not delay the next probe until the deadline of its session.
 #[test]
 fn a_hung_server_is_probed_again_before_the_deadline() {
     let mut front = Front::new(1);
@@ -36,37 +35,37 @@
     assert!((2..=5).contains(&sent), "{sent} sent");
 }
 
-/// Seen at norte-donaciones: a server that quickly answered with failures was sent ever more sessions.
+/// Without ejection, a server that quickly answered with failures was sent more and more sessions.
 #[test]
 fn a_server_that_answers_with_failures_is_ejected() {
     let mut front = Front::new(2);
     let (session, _) = front.place_call(0, 0);
     let decisions = front.end_invite(40, session, 0, InviteOutcome::Failed { lines_busy: false });
-    assert!(is_final_rejection(&decisions), "not sent again");
+    assert!(is_final_rejection(&decisions), "no re-send after a failure answer");
     assert_eq!(invited_server(&front.place_call(50, 0).1), Some(1));
 }
 
-/// Seen at norte-donaciones over sockets: one server answered three in four with failures while the other was
-/// replaced, and every session was rejected though one in four would have been established.
-#[test_case(InviteOutcome::Failed { lines_busy: false }, true; "ejected for its faults alone")]
-#[test_case(InviteOutcome::ConnectFailed, false; "ejected because it can't be reached")]
-fn a_server_ejected_for_faults_is_the_last_resort(outcome: InviteOutcome, sent: bool) {
+/// One server answered three of four INVITEs with failures while the only other one was replaced. Without a last
+/// resort every session was rejected, although one in four would have been established.
+#[test_case(InviteOutcome::Failed { lines_busy: false }, true; "ejected for failure answers")]
+#[test_case(InviteOutcome::ConnectFailed, false; "ejected as unreachable")]
+fn a_server_ejected_for_failure_answers_is_the_last_resort(outcome: InviteOutcome, sent: bool) {
     let mut front = Front::new(2);
     let (session, _) = front.place_call(0, 0);
     front.end_invite(40, session, 0, outcome);
-    assert_eq!(invited_server(&front.place_call(50, 0).1), Some(1), "the other can admit it");
+    assert_eq!(invited_server(&front.place_call(50, 0).1), Some(1), "the other server can admit it");
     front.update_endpoint(60, 1, EndpointState::Draining);
     assert_eq!(invited_server(&front.place_call(70, 0).1).is_some(), sent);
-    assert!(is_final_rejection(&front.place_call(80, 0).1), "one at a time");
+    assert!(is_final_rejection(&front.place_call(80, 0).1), "one session at a time");
 }
 
-/// A probe is sent again and again, whatever became of the one before: no front locks itself out.
+/// Further probes follow after every outcome of a probe, so that no server stays ejected permanently.
 #[test_case(InviteOutcome::TimedOut; "unanswered")]
 #[test_case(PROCESSOR_FULL; "processor full")]
 #[test_case(InviteOutcome::Reset; "reset")]
-#[test_case(InviteOutcome::ConnectFailed; "unreachable")]
+#[test_case(InviteOutcome::ConnectFailed; "connect failed")]
 #[test_case(InviteOutcome::Unsent; "unsent")]
-#[test_case(InviteOutcome::Failed { lines_busy: false }; "fault")]
+#[test_case(InviteOutcome::Failed { lines_busy: false }; "failure answer")]
 fn an_ejected_server_is_probed_again(outcome: InviteOutcome) {
     let mut front = Front::new(1);
     let mut probes = 0;
@@ -80,23 +79,23 @@
     assert!((8..=40).contains(&probes), "{probes} probes");
 }
 
-/// Seen at showroom-calls: INVITEs lost on the way reduced the in-flight limit of healthy servers to nothing.
+/// If lost INVITEs counted as waiting, they would reduce the in-flight limit of healthy servers to almost zero.
 #[test]
-fn an_overtaken_invite_counts_as_lost() {
+fn an_unanswered_invite_counts_as_lost_once_a_later_one_is_answered() {
     let mut front = Front::new(2);
     front.place_call(0, 0);
     for ms in (20..OBJECTIVE_MS * 2).step_by(100) {
         let (session, decisions) = front.place_call(ms, 0);
-        assert_eq!(invited_server(&decisions), Some(0), "still healthy at {ms} ms");
+        assert_eq!(invited_server(&decisions), Some(0), "sent to the destination at {ms} ms");
         front.controller.advance_to(at_ms(ms + 30));
         front.controller.on_call_established(session);
     }
 }
 
-/// Seen at places-line-gh: fronts that stood still for two seconds took that time for the servers' answer time.
-#[test_case(true, Some(0); "the stall is not the server's")]
-#[test_case(false, Some(1); "a slow server is")]
-fn a_stalled_front_does_not_blame_the_server(has_stalled: bool, expected: Option<usize>) {
+/// Fronts that stalled for two seconds counted the stall as answer time of the servers and avoided healthy servers.
+#[test_case(true, Some(0); "front stalled, server is used")]
+#[test_case(false, Some(1); "server slow, server is avoided")]
+fn a_stall_of_the_front_does_not_count_as_answer_time(has_stalled: bool, expected: Option<usize>) {
     let mut front = Front::new(2);
     front.complete_call(0, 0, 50);
     front.complete_call(100, 1, 50);
@@ -104,7 +103,7 @@
     let timeout_at = front.controller.poll_timeout().expect("an answer is awaited");
     if !has_stalled {
         front.controller.advance_to(timeout_at);
-        for ms in (1..=12).map(|turn| 1_000 + turn * 150) {
+        for ms in (1..=12).map(|poll| 1_000 + poll * 150) {
             front.controller.advance_to(at_ms(ms));
             front.controller.poll_timeout();
         }
@@ -115,47 +114,47 @@
     assert_eq!(invited_server(&front.place_call(late, 0).1), expected);
 }
 
-/// Seen at norte-donaciones: a quarter of the answers of healthy servers got lost for half a minute, and their
-/// callers waited for them as long as they could.
+/// A quarter of the answers of healthy servers got lost for half a minute. Without a short answer timeout, their
+/// callers waited until the deadline.
 #[test]
-fn the_answer_timeout_is_short_where_answers_get_lost() {
+fn the_answer_timeout_is_short_while_answers_get_lost() {
     let answer_timeout = |decisions: &[Decision]| match decisions {
         [.., Decision::Invite { answer_timeout, .. }] => *answer_timeout,
         other => panic!("{other:?}"),
     };
     let mut front = Front::new(2);
     let (lost, first) = front.place_call(0, 0);
-    assert_eq!(answer_timeout(&first), None, "nothing is lost yet");
+    assert_eq!(answer_timeout(&first), None, "no answer is lost yet");
     front.complete_call(100, 0, 40);
     front.end_invite(3_000, lost, 0, InviteOutcome::TimedOut);
     assert_eq!(answer_timeout(&front.place_call(4_000, 0).1), Some(Span::from_millis(OBJECTIVE_MS / 2)));
-    assert_eq!(answer_timeout(&front.place_call(4_000, 1).1), None, "the other server loses none");
+    assert_eq!(answer_timeout(&front.place_call(4_000, 1).1), None, "no answer of the other server is lost");
 }
 
-/// Seen at merokozpont on a calm day: a timeout was forgotten as the INVITE ended, and one INVITE of each front after
-/// the other kept a jammed server jammed.
-#[test_case(100, InviteOutcome::TimedOut, 1, 15; "held back after a timeout")]
-#[test_case(6_000, InviteOutcome::TimedOut, 1, 15; "for longer than the window of recent answers")]
-#[test_case(OBJECTIVE_MS * 6, InviteOutcome::TimedOut, 50, 50; "and not for good")]
-#[test_case(100, InviteOutcome::Cancelled, 50, 50; "a caller who hangs up says nothing of the server")]
+/// If a timeout counted only while its INVITE was in flight, one INVITE from each front in turn would keep an
+/// overloaded server overloaded.
+#[test_case(100, InviteOutcome::TimedOut, 1, 15; "shortly after a timeout")]
+#[test_case(6_000, InviteOutcome::TimedOut, 1, 15; "beyond the window of recent answers")]
+#[test_case(OBJECTIVE_MS * 6, InviteOutcome::TimedOut, 50, 50; "after the validity of the timeout")]
+#[test_case(100, InviteOutcome::Cancelled, 50, 50; "a cancelled INVITE does not count")]
 fn a_timeout_counts_after_the_invite_has_ended(
-    after: u64,
+    after_ms: u64,
     outcome: InviteOutcome,
-    least: usize,
-    most: usize,
+    min: usize,
+    max: usize,
 ) {
     let sends = |seed: &u64| {
         let mut front = Front::with_config(&ControllerConfig { seed: *seed, ..config() }, 1);
         let (session, _) = front.place_call(0, 0);
         front.controller.on_caller_gone(session);
         front.end_invite(3_000, session, 0, outcome);
-        invited_server(&front.place_call(3_000 + after, 0).1).is_some()
+        invited_server(&front.place_call(3_000 + after_ms, 0).1).is_some()
     };
     let sent = (0..50).filter(sends).count();
-    assert!((least..=most).contains(&sent), "{sent} send");
+    assert!((min..=max).contains(&sent), "{sent} of 50 fronts send");
 }
 
-/// What the former process did not answer says nothing of the next.
+/// A timeout of the process before a restart does not count for the new process.
 #[test]
 fn a_timeout_of_the_former_process_does_not_count() {
     let mut front = Front::with_config(&ControllerConfig { warm_up_time: Span::from_secs(1), ..config() }, 1);
@@ -171,7 +170,8 @@
     }
 }
 
-/// An ejected server is probed with one session; its number was busy, which says nothing of the server.
+/// A probe that meets busy lines of the called number does not show whether the server is healthy. Without another
+/// probe the server stayed ejected.
 #[test]
 fn a_probe_that_meets_busy_lines_is_followed_by_another() {
     let mut front = Front::new(1);
@@ -180,7 +180,7 @@
     let (probe, decisions) = front.place_call(2_000, 0);
     assert_eq!(invited_server(&decisions), Some(0), "probed again");
     front.end_invite(2_020, probe, 0, InviteOutcome::Failed { lines_busy: true });
-    let later = (1..=40).map(|call| call * 10_000);
-    let probes = later.filter(|ms| front.place_abandoned_call(*ms, 0).is_some()).count();
-    assert!(probes > 0, "never probed again");
+    let calls = (1..=40).map(|call| call * 10_000);
+    let probes = calls.filter(|ms| front.place_abandoned_call(*ms, 0).is_some()).count();
+    assert!(probes > 0, "no further probe is sent");
 }
--- a/crates/ochrelead-core/tests/routing.rs
+++ b/crates/ochrelead-core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which server a session goes to, how often, and when it gets its final answer.
+//! Choice of server, re-sends, and the final answer of a session.
 
 mod support;
 
@@ -13,7 +13,7 @@
 };
 use test_case::test_case;
 
-#[test_case(&[0, 1, 2]; "each destination")]
+#[test_case(&[0, 1, 2]; "three destinations")]
 fn a_session_goes_to_its_destination_first(destinations: &[i64]) {
     let mut front = Front::new(3);
     for (ms, destination) in (0..).step_by(500).zip(destinations) {
@@ -24,7 +24,7 @@
 
 #[test_case(EndpointState::Draining; "draining")]
 #[test_case(EndpointState::Gone; "gone")]
-fn a_leaving_server_gets_no_new_sessions(state: EndpointState) {
+fn a_draining_or_gone_server_gets_no_new_sessions(state: EndpointState) {
     let mut front = Front::new(2);
     front.update_endpoint(10, 0, state);
     for ms in (0..20).map(|call| 20 + call * 100) {
@@ -43,16 +43,16 @@
 
 #[test_case(InviteOutcome::TimedOut, RESEND_DELAY_MS; "timeout")]
 #[test_case(InviteOutcome::Reset, RESEND_DELAY_MS; "reset")]
-#[test_case(PROCESSOR_FULL, 0; "a rejected INVITE needs none")]
-fn a_resend_waits_for_the_resend_delay(outcome: InviteOutcome, wait: u64) {
+#[test_case(PROCESSOR_FULL, 0; "rejection, without delay")]
+fn a_resend_waits_for_the_resend_delay(outcome: InviteOutcome, delay_ms: u64) {
     let mut front = Front::new(2);
     let (session, first) = front.place_call(0, 0);
     let mut decisions = front.end_invite(100, session, invited_server(&first).unwrap(), outcome);
-    if wait > 0 {
-        assert_eq!(decisions, [], "held until the delay is over");
-        assert_eq!(front.controller.poll_timeout(), Some(at_ms(100 + wait)));
-        assert_eq!(front.decide(100 + wait - 1), []);
-        decisions = front.decide(100 + wait);
+    if delay_ms > 0 {
+        assert_eq!(decisions, [], "no re-send within the delay");
+        assert_eq!(front.controller.poll_timeout(), Some(at_ms(100 + delay_ms)));
+        assert_eq!(front.decide(100 + delay_ms - 1), []);
+        decisions = front.decide(100 + delay_ms);
     }
     assert_eq!(invited_server(&decisions), Some(1));
 }
@@ -78,7 +78,7 @@
 
 #[test_case(true; "while its INVITE is outstanding")]
 #[test_case(false; "within the resend delay")]
-fn no_invite_is_sent_for_a_caller_that_has_gone(is_outstanding: bool) {
+fn no_invite_is_sent_after_the_caller_has_gone(is_outstanding: bool) {
     let mut front = Front::new(2);
     let (session, _) = front.place_call(0, 0);
     if !is_outstanding {
@@ -91,8 +91,8 @@
     assert_eq!(front.decide(100 + RESEND_DELAY_MS * 3), []);
 }
 
-#[test_case(4, 3; "three by default")]
-#[test_case(2, 2; "never more than configured")]
+#[test_case(4, 3; "limited to three by default")]
+#[test_case(2, 2; "limited to the configured number")]
 fn the_number_of_invites_is_limited(configured: u32, expected: usize) {
     let mut front = Front::with_config(&ControllerConfig { max_invites: configured, ..config() }, 6);
     let (session, mut decisions) = front.place_call(0, 0);
@@ -105,8 +105,8 @@
     assert!(is_final_rejection(&decisions));
 }
 
-/// The destination has left; sessions are drawn among the others.
-#[test_case(&[1.0, 1.0], 0.5; "alike")]
+/// The destination is gone, so sessions are drawn among the other servers.
+#[test_case(&[1.0, 1.0], 0.5; "one to one")]
 #[test_case(&[3.0, 1.0], 0.75; "three to one")]
 #[test_case(&[0.5, 2.0], 0.2; "one to four")]
 fn the_draw_follows_the_listed_weights(weights: &[f64], share: f64) {
@@ -124,13 +124,13 @@
         server == 1
     });
     let measured = first.count() as f64 / draws as f64;
-    // Five standard deviations of a draw of that many.
+    // Five standard deviations of the binomial share.
     let bound = 5.0 * (share * (1.0 - share) / draws as f64).sqrt();
     assert!((measured - share).abs() < bound, "{measured}");
 }
 
 #[test]
-fn weights_do_not_affect_the_first_choice() {
+fn weights_do_not_affect_the_choice_of_the_destination() {
     let mut front = Front::new(2);
     let state = EndpointState::Ready { started: None };
     front.controller.on_endpoints(true, &[endpoint(0, state, 0.01), endpoint(1, state, 100.0)]);
--- a/crates/ochrelead-core/tests/slow_start_fleet.rs
+++ b/crates/ochrelead-core/tests/slow_start_fleet.rs
@@ -1,5 +1,5 @@
-//! Slow start over a whole fleet: what uneven fronts together send a server that is warming up, emulated over
-//! seeds. The servers are simple: one processor each, and one that is full says so.
+//! Slow start across a fleet: INVITEs that fronts with uneven traffic together send to a server that is warming up,
+//! emulated with several seeds. Each emulated server has one processor and rejects set-ups while its queue is full.
 
 mod support;
 
@@ -18,14 +18,16 @@
 const SERVERS: usize = 8;
 /// The server that starts during the run.
 const NEW_SERVER: usize = SERVERS - 1;
-/// Set-ups a second of one warm server, and the share of that which is requested.
+/// Set-ups per second of one warm server.
 const CAPACITY_PER_S: f64 = 40.0;
+/// Requested sessions as a share of the capacity of all servers when warm.
 const LOAD: f64 = 0.9;
 const COLD_CAPACITY_SHARE: f64 = 0.29;
 const WARM_UP_US: f64 = 15e6;
+/// When the new server starts.
 const START_MS: u64 = 8_000;
 const END_MS: u64 = 20_000;
-/// A processor whose queue is longer than this rejects set-ups.
+/// A server whose queue is at least this long rejects set-ups.
 const MAX_QUEUE_US: f64 = 500_000.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,7 +40,7 @@
     Timeout,
 }
 
-/// An event at a front, in the order in which events happen.
+/// An event at a front, ordered by time and then by the order of scheduling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
     at_us: u64,
@@ -47,7 +49,7 @@
     event: Event,
 }
 
-/// What load breaks a server that is warming up.
+/// The load that makes a server that is warming up fail: more than `multiple` times its capacity for `duration_ms`.
 #[derive(Clone, Copy, Debug)]
 struct Overload {
     multiple: f64,
@@ -60,7 +62,7 @@
 struct EmulatedFront {
     front: Front,
     incarnation: u32,
-    /// Its share of all requests.
+    /// Share of all requests that arrive at this front.
     traffic_share: f64,
 }
 
@@ -68,10 +70,10 @@
     fronts: Vec<EmulatedFront>,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
     scheduled: u64,
-    /// When each processor is done with what it has, in microseconds.
+    /// When each server's processor has finished its queue, in microseconds.
     busy_until_us: [f64; SERVERS],
-    /// When INVITEs arrived at the new server, in microseconds.
-    arrivals: Vec<u64>,
+    /// Arrival times of INVITEs at the new server.
+    arrivals_us: Vec<u64>,
     overload: Overload,
     rng: Pcg64Mcg,
 }
@@ -95,13 +97,13 @@
     at_ms(0) + Span::from_micros(us)
 }
 
-/// The new server is ready since its start.
+/// Returns the endpoint state of the new server after its start.
 fn new_server_ready() -> EndpointState {
     EndpointState::Ready { started: Some(moment(micros(START_MS))) }
 }
 
-/// What a server can set up in a second then.
-fn capacity(server: usize, us: u64) -> f64 {
+/// Returns the set-ups per second of which a server is capable at time `us`.
+fn capacity_per_s(server: usize, us: u64) -> f64 {
     let warm_up = us.saturating_sub(micros(START_MS)) as f64 / WARM_UP_US;
     if server == NEW_SERVER {
         CAPACITY_PER_S * (COLD_CAPACITY_SHARE + (1.0 - COLD_CAPACITY_SHARE) * warm_up.min(1.0))
@@ -113,7 +115,7 @@
 impl Fleet {
     fn new(fronts: usize, overload: Overload, seed: u64) -> Fleet {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        // Some get several times the mean.
+        // The cubed random number gives some fronts several times the mean traffic.
         let weights: Vec<f64> = (0..fronts).map(|_| rng.random::<f64>().powi(3) + 0.05).collect();
         let sum = weights.iter().sum::<f64>();
         let emulated = (seed * 1_000..).zip(weights).map(|(front_seed, weight)| EmulatedFront {
@@ -126,7 +128,7 @@
             events: BinaryHeap::new(),
             scheduled: 0,
             busy_until_us: [0.0; SERVERS],
-            arrivals: Vec::new(),
+            arrivals_us: Vec::new(),
             overload,
             rng,
         };
@@ -153,7 +155,7 @@
         self.schedule(us + (gap_s * 1e6) as u64, front, Event::Request);
     }
 
-    /// Runs to the end; when INVITEs arrived at the new server, in microseconds.
+    /// Runs until `END_MS` and returns the arrival times of INVITEs at the new server, in microseconds.
     fn run(mut self) -> Vec<u64> {
         while let Some(Reverse(next)) = self.events.pop() {
             if next.at_us > micros(END_MS) {
@@ -162,7 +164,7 @@
             self.process(next.at_us, next.front, next.event);
             self.decide(next.at_us, next.front);
         }
-        self.arrivals
+        self.arrivals_us
     }
 
     fn process(&mut self, us: u64, front: usize, event: Event) {
@@ -170,8 +172,8 @@
         match event {
             Event::Request => {
                 self.schedule_request(front, us);
-                let known = if us >= micros(START_MS) { SERVERS } else { NEW_SERVER };
-                let destination = self.rng.random_range(0..known) as i64;
+                let destinations = if us >= micros(START_MS) { SERVERS } else { NEW_SERVER };
+                let destination = self.rng.random_range(0..destinations) as i64;
                 let call = Call { number: Some(self.scheduled as usize), ..Call::default() };
                 self.fronts[front].front.request(ms, destination, call);
             }
@@ -234,65 +236,66 @@
 
     fn deliver_invite(&mut self, us: u64, front: usize, session: usize, server: usize) {
         if server == NEW_SERVER {
-            self.arrivals.push(us);
+            self.arrivals_us.push(us);
         }
-        let now = us as f64;
-        let queue_us = (self.busy_until_us[server] - now).max(0.0);
+        let now_us = us as f64;
+        let queue_us = (self.busy_until_us[server] - now_us).max(0.0);
         let is_established = queue_us < MAX_QUEUE_US;
         if is_established {
-            self.busy_until_us[server] = now + queue_us + 1e6 / capacity(server, us);
+            self.busy_until_us[server] = now_us + queue_us + 1e6 / capacity_per_s(server, us);
         }
-        let answer_us = if is_established { queue_us + 1e6 / capacity(server, us) } else { 1e3 };
+        let answer_us = if is_established { queue_us + 1e6 / capacity_per_s(server, us) } else { 1e3 };
         let incarnation = self.fronts[front].incarnation;
         let answer = Event::Answer { incarnation, session, server, is_established };
         self.schedule(us + answer_us as u64 + 10_000, front, answer);
     }
 }
 
-/// The most by which the arrivals within any overload duration exceeded the load that breaks the server and what chance
-/// explains; below zero where none did.
-fn worst_excess(arrivals: &[u64], overload: Overload) -> f64 {
+/// Returns the maximum over all windows of the overload duration of arrivals - (b + 2 * sqrt(b) + 2), where b is the
+/// number of INVITEs that makes the server fail and the other terms allow for random variation. Above zero, the server
+/// was overloaded.
+fn max_excess(arrivals_us: &[u64], overload: Overload) -> f64 {
     let duration_us = micros(overload.duration_ms);
     let mut window = VecDeque::new();
-    let mut worst = f64::NEG_INFINITY;
-    for us in arrivals {
+    let mut max_excess = f64::NEG_INFINITY;
+    for us in arrivals_us {
         window.push_back(*us);
         while window.front().is_some_and(|first| us - first >= duration_us) {
             window.pop_front();
         }
-        // The least that it could do within the window.
+        // The lowest capacity within the window, as it rises with time.
         let window_start = us.saturating_sub(duration_us).max(micros(START_MS));
-        let capacity = capacity(NEW_SERVER, window_start);
-        let budget = overload.multiple * capacity * overload.duration_ms as f64 / 1e3;
-        worst = worst.max(window.len() as f64 - (budget + 2.0 * budget.sqrt() + 2.0));
+        let min_capacity = capacity_per_s(NEW_SERVER, window_start);
+        let budget = overload.multiple * min_capacity * overload.duration_ms as f64 / 1e3;
+        max_excess = max_excess.max(window.len() as f64 - (budget + 2.0 * budget.sqrt() + 2.0));
     }
-    worst
+    max_excess
 }
 
 #[test_matrix([20, 30, 300], [TIGHT, WIDE])]
 fn uneven_fronts_together_do_not_overload_a_warming_up_server(fronts: usize, overload: Overload) {
     for seed in 1..=4 {
-        let arrivals = Fleet::new(fronts, overload, seed).run();
-        let (count, excess) = (arrivals.len(), worst_excess(&arrivals, overload));
-        assert!(count > 20, "seed {seed}: it is used at all, {count} arrived");
-        assert!(excess <= 0.0, "seed {seed}: {excess:.1} beyond the budget, of {count} that arrived");
+        let arrivals_us = Fleet::new(fronts, overload, seed).run();
+        let (count, excess) = (arrivals_us.len(), max_excess(&arrivals_us, overload));
+        assert!(count > 20, "seed {seed}: only {count} INVITEs arrived at the new server");
+        assert!(excess <= 0.0, "seed {seed}: {excess:.1} above the overload limit, {count} INVITEs arrived");
     }
 }
 
+/// Shows that the check above can fail: each front is configured as if it were the only one.
 #[test]
-fn fronts_that_each_use_the_whole_budget_are_detected() {
-    // The same fleet, but each front is configured as if it were the only one.
+fn the_check_detects_fronts_that_each_use_the_whole_budget() {
     let mut fleet = Fleet::new(30, TIGHT, 1);
     for (seed, emulated) in (0..).zip(&mut fleet.fronts) {
-        let alone = ControllerConfig { fronts: 1, cold_capacity_share: 2.9, ..config(30, TIGHT, seed) };
-        emulated.front = Front::with_config(&alone, NEW_SERVER);
+        let config = ControllerConfig { fronts: 1, cold_capacity_share: 2.9, ..config(30, TIGHT, seed) };
+        emulated.front = Front::with_config(&config, NEW_SERVER);
     }
-    let arrivals = fleet.run();
-    assert!(worst_excess(&arrivals, TIGHT) > 0.0, "{} arrived", arrivals.len());
+    let arrivals_us = fleet.run();
+    assert!(max_excess(&arrivals_us, TIGHT) > 0.0, "{} INVITEs arrived", arrivals_us.len());
 }
 
 #[test]
-fn the_emulated_front_sends_at_all() {
+fn an_emulated_front_sends_a_call_to_its_destination() {
     let mut front = Front::with_config(&config(1, TIGHT, 1), SERVERS);
     let (_, decisions) = front.place_call(0, 0);
     assert_eq!(invited_server(&decisions), Some(0));
--- a/crates/ochrelead-core/tests/support/mod.rs
+++ b/crates/ochrelead-core/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A front whose servers do only what a test tells them.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Test fixture: a front whose servers are scripted by the test.
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
 use ochrelead_core::config::{ControllerConfig, Service};
 use ochrelead_core::controller::Controller;
@@ -13,16 +13,16 @@
 pub(crate) const RESEND_DELAY_MS: u64 = 300;
 pub(crate) const DEADLINE_MS: u64 = 9_000;
 
-/// A server's processor is full.
+/// The outcome of an INVITE to a server whose processor is full.
 pub(crate) const PROCESSOR_FULL: InviteOutcome =
     InviteOutcome::Rejected { no_line: false, retry_after: None };
 
-/// The moment so many milliseconds after the start of the test.
+/// Returns the time `ms` milliseconds after the start of the test.
 pub(crate) fn at_ms(ms: u64) -> Moment {
     Moment::from_micros(60_000_000 + ms * 1_000)
 }
 
-/// Two services, the second worth four times the first, at one of four fronts.
+/// Returns the configuration of one of four fronts with two services, the second of four times the value.
 pub(crate) fn config() -> ControllerConfig {
     let service = |value| Service {
         value,
@@ -48,7 +48,7 @@
     }
 }
 
-/// What a test may choose of a call; by default it is of the first service, to a number that no other call has.
+/// The properties of a call; by default it is for the first service and to a number that no other call has.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Call {
     pub(crate) service: usize,
@@ -64,7 +64,7 @@
 }
 
 impl Front {
-    /// A front that knows so many warm servers, numbered as they are indexed.
+    /// Returns a front with this many warm servers, whose numbers equal their indices.
     pub(crate) fn new(servers: usize) -> Front {
         Front::with_config(&config(), servers)
     }
@@ -104,7 +104,7 @@
         session
     }
 
-    /// Requests a session and lets the front decide.
+    /// Requests a session and returns it with the front's decisions.
     pub(crate) fn place_call(&mut self, ms: u64, destination: i64) -> (SessionIx, Vec<Decision>) {
         let session = self.request(ms, destination, Call::default());
         (session, self.decide(ms))
@@ -118,14 +118,14 @@
         }
     }
 
-    /// The call is established and released at once.
+    /// Establishes the call and releases it at once.
     pub(crate) fn establish_and_release(&mut self, ms: u64, session: SessionIx, server: usize) {
         self.controller.advance_to(at_ms(ms));
         self.controller.on_call_established(session);
         self.controller.on_invite_ended(session, ServerIx::new(server), InviteOutcome::Released, true);
     }
 
-    /// Places a call whose caller gives up at once; the server that its INVITE went to.
+    /// Places a call whose caller abandons it at once. Returns the server to which its INVITE was sent.
     pub(crate) fn place_abandoned_call(&mut self, ms: u64, destination: i64) -> Option<usize> {
         let (session, decisions) = self.place_call(ms, destination);
         let server = invited_server(&decisions)?;
@@ -134,6 +134,7 @@
         Some(server)
     }
 
+    /// Ends the INVITE without a final answer to the caller and returns the front's decisions.
     pub(crate) fn end_invite(
         &mut self,
         ms: u64,
@@ -146,18 +147,19 @@
         self.decide(ms)
     }
 
+    /// Returns all decisions that are due.
     pub(crate) fn decide(&mut self, ms: u64) -> Vec<Decision> {
         self.controller.advance_to(at_ms(ms));
         std::iter::from_fn(|| self.controller.next_decision()).collect()
     }
 }
 
-/// An endpoint whose number is its server's index.
+/// Returns an endpoint whose number equals its server's index.
 pub(crate) fn endpoint(server: usize, state: EndpointState, weight: f64) -> EndpointUpdate {
     EndpointUpdate { server: ServerIx::new(server), number: server as i64, state, weight }
 }
 
-/// The server that the first INVITE among the decisions goes to.
+/// Returns the server of the first INVITE among the decisions.
 pub(crate) fn invited_server(decisions: &[Decision]) -> Option<usize> {
     decisions.iter().find_map(|decision| match decision {
         Decision::Invite { server, .. } => Some(server.index()),
@@ -165,6 +167,7 @@
     })
 }
 
+/// Returns whether the only decision is the session's final rejection or failure.
 pub(crate) fn is_final_rejection(decisions: &[Decision]) -> bool {
     matches!(decisions, [Decision::Reject { .. } | Decision::Fail { .. }])
 }
