--- a/crates/ochrelead-core/src/controller.rs
+++ b/crates/ochrelead-core/src/controller.rs
@@ -175,7 +175,7 @@
         let request = &session.request;
         let may_send = match session.last_outcome {
             None | Some(InviteOutcome::Rejected { .. }) => true,
-            Some(outcome) => outcome.may_have_run() && self.services[request.service].is_retryable,
+            Some(outcome) => outcome.may_have_set_up_call() && self.services[request.service].is_retryable,
         };
         let is_in_time = ready_at + self.config.min_turn_interval < request.deadline;
         // A number is not called again until the wait after its busy lines is over.
--- a/crates/ochrelead-core/src/controller/observations.rs
+++ b/crates/ochrelead-core/src/controller/observations.rs
@@ -101,7 +101,7 @@
         } else {
             state.outstanding = None;
             state.excluded_servers.push(server);
-            if outcome.may_have_run() {
+            if outcome.may_have_set_up_call() {
                 state.not_before = now + self.config.resend_delay;
             }
             self.sessions.schedule(session, now);
--- a/crates/ochrelead-core/src/types.rs
+++ b/crates/ochrelead-core/src/types.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns whether the server may have set up the call although the front has no answer.
-    pub fn may_have_run(self) -> bool {
+    pub fn may_have_set_up_call(self) -> bool {
         matches!(self, InviteOutcome::TimedOut | InviteOutcome::Reset | InviteOutcome::Cancelled)
     }
 }
