--- a/crates/ochrelead-config/src/front_config.rs
+++ b/crates/ochrelead-config/src/front_config.rs
@@ -99,7 +99,7 @@
         max_invites: front.most_invites.unwrap_or(0),
         max_retry_after: millis(front.longest_away_ms.unwrap_or(0)),
         resend_delay: millis(fields.required("release_wait_ms", front.release_wait_ms)),
-        min_turn_interval: millis(turn_ms),
+        min_poll_interval: millis(turn_ms),
         ..slow_start
     };
     let service_digits = front.service.iter().map(|service| service.dialled.clone().unwrap_or_default());
--- a/crates/ochrelead-core/src/config.rs
+++ b/crates/ochrelead-core/src/config.rs
@@ -31,7 +31,7 @@
     /// Time after which overload makes a server that is warming up fail.
     pub overload_duration: Span,
     /// Shortest time between two iterations of the host's event loop.
-    pub min_turn_interval: Span,
+    pub min_poll_interval: Span,
 }
 
 /// The configuration of a service.
--- a/crates/ochrelead-core/src/controller.rs
+++ b/crates/ochrelead-core/src/controller.rs
@@ -108,7 +108,7 @@
     pub fn advance_to(&mut self, now: Moment) {
         if now > self.now {
             let late = self.timeout_at.map_or(Span::ZERO, |timeout_at| now.since(timeout_at));
-            let has_stalled = late > self.config.min_turn_interval * STALL_INTERVALS;
+            let has_stalled = late > self.config.min_poll_interval * STALL_INTERVALS;
             self.stall = if has_stalled { late } else { Span::ZERO };
             self.now = now;
         }
@@ -177,7 +177,7 @@
             None | Some(InviteOutcome::Rejected { .. }) => true,
             Some(outcome) => outcome.may_have_set_up_call() && self.services[request.service].is_retryable,
         };
-        let is_in_time = ready_at + self.config.min_turn_interval < request.deadline;
+        let is_in_time = ready_at + self.config.min_poll_interval < request.deadline;
         // A number is not called again until the wait after its busy lines is over.
         let is_busy = |number| self.called_numbers.get(number).busy_until > self.now;
         let configured = self.config.max_invites;
--- a/crates/ochrelead-core/tests/support/mod.rs
+++ b/crates/ochrelead-core/tests/support/mod.rs
@@ -43,7 +43,7 @@
         warm_up_time: Span::from_secs(15),
         overload_multiple: 2.5,
         overload_duration: Span::from_secs(1),
-        min_turn_interval: Span::from_millis(5),
+        min_poll_interval: Span::from_millis(5),
         ..ControllerConfig::default()
     }
 }
--- a/crates/ochrelead-front/src/engine.rs
+++ b/crates/ochrelead-front/src/engine.rs
@@ -130,7 +130,7 @@
     fn advance_to(&mut self, now: Moment) {
         let late = self.next_timeout.map_or(Span::ZERO, |timeout| now.since(timeout));
         let margin = self.config.answer_margin.scaled(LATE_SHARE);
-        if late > margin.max(self.config.controller.min_turn_interval * 4) {
+        if late > margin.max(self.config.controller.min_poll_interval * 4) {
             // What was received since the last turn was unread, for an unknown time.
             self.input_delay = now.since(self.last_turn);
         }
--- a/crates/ochrelead-platform/src/settings.rs
+++ b/crates/ochrelead-platform/src/settings.rs
@@ -166,7 +166,7 @@
             warm_up_time: span_from_millis(self.rules.cold_ms),
             overload_multiple: self.rules.overload_factor,
             overload_duration: span_from_millis(self.rules.tip_after_ms),
-            min_turn_interval: span_from_millis(self.tick_ms),
+            min_poll_interval: span_from_millis(self.tick_ms),
         }
     }
 
--- a/crates/ochrelead-verify/src/zones/server.rs
+++ b/crates/ochrelead-verify/src/zones/server.rs
@@ -56,7 +56,7 @@
         warm_up_time: Span::from_micros(WARM_UP_TIME),
         overload_multiple: OVERLOAD_MULTIPLE,
         overload_duration: Span::from_micros(OVERLOAD_DURATION),
-        min_turn_interval: Span::from_millis(5),
+        min_poll_interval: Span::from_millis(5),
     }
 }
 
