--- a/crates/ochrelead-core/src/config.rs
+++ b/crates/ochrelead-core/src/config.rs
@@ -15,7 +15,7 @@
     pub tenants: Vec<Tenant>,
     /// Factor from 0 to 1 on the value of a session beyond its tenant's quota.
     pub over_quota_value_share: f64,
-    /// Maximum number of INVITEs for one session, at most 3; 0 selects the default of 3.
+    /// Maximum number of INVITEs for one session. 0 selects the default of 3, and values above 3 count as 3.
     pub max_invites: u32,
     /// Longest retry-after that callers follow; zero if rejections carry none.
     pub max_retry_after: Span,
@@ -30,7 +30,7 @@
     pub overload_multiple: f64,
     /// Time after which overload makes a server that is warming up fail.
     pub overload_duration: Span,
-    /// Shortest time between two iterations of the host's event loop.
+    /// Shortest time between two polls by the host, that is between two iterations of its event loop.
     pub min_poll_interval: Span,
 }
 
--- a/crates/ochrelead-core/src/controller/admission.rs
+++ b/crates/ochrelead-core/src/controller/admission.rs
@@ -76,7 +76,7 @@
         let server = &self.servers[server];
         server.is_ready
             && server.zone_share >= 1.0
-            && server.ejection.is_some_and(|ejection| ejection.for_faults)
+            && server.ejection.is_some_and(|ejection| ejection.for_failure_answers)
             && self.now >= server.warming_up_until
             && server.waiting(self.latency_objective).next().is_none()
     }
--- a/crates/ochrelead-core/src/controller/health.rs
+++ b/crates/ochrelead-core/src/controller/health.rs
@@ -67,7 +67,7 @@
             None => first_backoff,
         };
         let until = now + backoff;
-        self.ejection = Some(Ejection { until, backoff, probe_in_flight: false, for_faults: false });
+        self.ejection = Some(Ejection { until, backoff, probe_in_flight: false, for_failure_answers: false });
         self.recent_answers.clear();
     }
 
--- a/crates/ochrelead-core/src/controller/observations.rs
+++ b/crates/ochrelead-core/src/controller/observations.rs
@@ -111,8 +111,9 @@
         }
     }
 
-    /// Sets until when a called number counts as busy: for n latency objectives after the n-th consecutive INVITE
-    /// that met busy lines, at most `MAX_BUSY_OBJECTIVES`. A release frees a line and ends that time.
+    /// Sets until when a called number counts as busy: after the n-th INVITE that met busy lines since a call to it
+    /// was last established, for min(n, `MAX_BUSY_OBJECTIVES`) latency objectives. A release frees a line and
+    /// ends that time.
     fn observe_called_number(&mut self, number: CalledNumberIx, outcome: InviteOutcome) {
         let number = self.called_numbers.get_mut(number);
         match outcome {
@@ -206,8 +207,8 @@
         }
         match outcome {
             Released => {}
-            // Busy lines do not indicate a full processor. A probe that met them does not show whether the
-            // server is healthy, so the next session is another probe.
+            // Busy lines, of the called number or of the server, do not indicate a full processor. A probe that
+            // met them does not show whether the server is healthy, so the next session is another probe.
             Failed { lines_busy: true } => {
                 self.ejection.iter_mut().for_each(|ejection| ejection.probe_in_flight = false);
             }
@@ -215,7 +216,7 @@
             Failed { lines_busy: false } => {
                 self.record_failure(now);
                 self.eject(now, objective, objective);
-                self.ejection.iter_mut().for_each(|ejection| ejection.for_faults = true);
+                self.ejection.iter_mut().for_each(|ejection| ejection.for_failure_answers = true);
             }
             Rejected { no_line: true, .. } => {
                 self.lines.free = 0;
--- a/crates/ochrelead-core/src/retry_budget.rs
+++ b/crates/ochrelead-core/src/retry_budget.rs
@@ -10,7 +10,7 @@
 const DEPOSIT_UNITS: u64 = TOKEN_UNITS / 10;
 /// Time in which tokens that are not used expire.
 const TOKEN_LIFETIME: Span = Span::from_secs(10);
-/// A re-send is granted without a token if none was granted for this long.
+/// The floor: a re-send is granted without a token if no re-send was granted for this long.
 const FLOOR_INTERVAL: Span = Span::from_secs(1);
 
 /// The retry budget of one server.
--- a/crates/ochrelead-core/src/state/server.rs
+++ b/crates/ochrelead-core/src/state/server.rs
@@ -84,7 +84,7 @@
     /// A probe is waiting for its answer.
     pub(crate) probe_in_flight: bool,
     /// The server was ejected for failure answers, so it can be reached.
-    pub(crate) for_faults: bool,
+    pub(crate) for_failure_answers: bool,
 }
 
 /// Bucket widths of a server's windows.
@@ -182,7 +182,8 @@
             if is_hold_time_known { f64::from(lines.total) / mean_hold_time_s } else { 0.0 };
     }
 
-    /// Discards the observations of the former process after a restart, but keeps its answer rate.
+    /// Starts the warm-up after a restart. Discards the answers, the line trend, the load report and the ejection
+    /// of the former process, but keeps its answer rate.
     pub(crate) fn restart(&mut self, now: Moment, warming_up_until: Moment) {
         let had_answers = self.long_term_answers.stats(now).count > 0;
         self.rate_before_restart = had_answers.then(|| self.long_term_answers.rate(now, Moment::START));
--- a/crates/ochrelead-core/src/types.rs
+++ b/crates/ochrelead-core/src/types.rs
@@ -139,7 +139,7 @@
     Free,
     /// A re-send that took a token.
     Token,
-    /// A re-send without a token, granted because none was sent to the server for the floor interval of 1 s.
+    /// A re-send without a token, as none was granted for the server within the floor interval of 1 s.
     Floor,
 }
 
--- a/crates/ochrelead-core/tests/outlier_detection.rs
+++ b/crates/ochrelead-core/tests/outlier_detection.rs
@@ -136,7 +136,7 @@
 #[test_case(100, InviteOutcome::TimedOut, 1, 15; "shortly after a timeout")]
 #[test_case(6_000, InviteOutcome::TimedOut, 1, 15; "beyond the window of recent answers")]
 #[test_case(OBJECTIVE_MS * 6, InviteOutcome::TimedOut, 50, 50; "after the validity of the timeout")]
-#[test_case(100, InviteOutcome::Cancelled, 50, 50; "a cancelled INVITE does not count")]
+#[test_case(100, InviteOutcome::Cancelled, 50, 50; "after a cancelled INVITE")]
 fn a_timeout_counts_after_the_invite_has_ended(
     after_ms: u64,
     outcome: InviteOutcome,
