--- a/crates/ochrelead-node/src/engine.rs
+++ b/crates/ochrelead-node/src/engine.rs
@@ -1,10 +1,10 @@
-//! The node from the bytes that arrive on sockets to the bytes that are sent on them.
+//! The call handling of a node, without I/O: it takes the bytes received on sockets and produces the bytes to send.
 //!
-//! The path of a call: a caller's line is read (`caller_side`) and its set-up checked and passed to the controller
-//! (`call_setup`); the controller's INVITE is sent on a connection to its server (`server_side`); the server's answer
-//! becomes the caller's, its refusal goes back to the controller (`server_messages`); a rejection or failure by the
-//! controller becomes the caller's answer at once. Inputs only update state; [`Engine::process`] then asks the
-//! controller for decisions until there are none.
+//! The path of a call: `caller_side` reads a line from a caller; `call_setup` validates the set-up and passes it to the
+//! controller; `server_side` sends the INVITE that the controller decides on. `server_messages` forwards a server's
+//! acceptance to the caller and reports a refusal to the controller. When the controller rejects or fails a call, its
+//! caller is answered immediately. Inputs only update state; [`Engine::process`] then asks the controller for decisions
+//! until it has none left.
 
 mod call_setup;
 mod caller_side;
@@ -40,12 +40,13 @@
 use releases::PendingReleases;
 use shutdown::Shutdown;
 
-/// The log target for established calls that did not end in the usual way; operators select it by `--log`.
+/// The log target for established calls that end other than by a normal release; operators enable it with `--log`.
 const CALL_END_LOG: &str = "ochrelead_node::ends";
-/// The tables' figures are logged this often.
+/// The interval at which the state of the servers and the sizes of the tables are logged at debug level.
 const LOG_INTERVAL: Span = Span::from_secs(1);
 
-/// An INVITE that is sent once nothing that has arrived says that its caller has left.
+/// An INVITE that is held back until all input received from its caller has been read: that input may cancel the call
+/// or end the connection.
 #[derive(Clone, Copy, Debug)]
 struct UncheckedInvite {
     caller: CallerId,
@@ -55,42 +56,42 @@
 /// The sizes of the engine's tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Calls, established or not.
+    /// Calls, including established ones.
     pub calls: usize,
     /// Connections of callers.
     pub callers: usize,
     /// Connections to signalling servers.
     pub server_connections: usize,
-    /// Calls whose callers wait for an answer.
+    /// Calls whose callers have not been answered yet.
     pub unanswered_calls: usize,
 }
 
-/// A node without I/O.
+/// The call handling of a node: the host passes in each [`Input`] and carries out each [`Output`].
 pub struct Engine {
     policy: Box<dyn CallPolicy>,
     now: Moment,
     bounds: Bounds,
     catalog: ServiceCatalog,
     connect_timeout: Span,
-    /// A connection to a server idle for so long is closed: its server would close it a connect time-out later, or a
-    /// quarter of its own limit where that is short.
+    /// The idle time after which the node closes a connection to a server; `None` for no limit. It is shorter than the
+    /// idle limit of the servers by the connect time-out, or by a quarter of the limit if that is less.
     max_idle: Option<Span>,
     calls: CallTable,
     callers: CallerTable,
     servers: ServerTable,
     called_numbers: CalledNumberTable,
     watch: CoordinatorWatch,
-    /// Calls with a cancelled INVITE: what a server still establishes by it is released.
+    /// Calls with a cancelled INVITE. If a server accepts the INVITE after all, the call is released there.
     cancelled: RecentIds,
-    /// Calls that their servers released while unknown here: a former incarnation may have set them up.
+    /// Calls unknown to this node that a server released: a former incarnation of the node may have set them up.
     released: RecentIds,
     unchecked_invites: Vec<UncheckedInvite>,
-    /// Callers' connections that are closed unless something has arrived on them.
-    retiring: Vec<CallerId>,
+    /// Callers' connections to close once their received input has been read, unless it contains a set-up.
+    callers_to_close: Vec<CallerId>,
     pending_releases: PendingReleases,
     fleet: FleetObservations,
     shutdown: Option<Shutdown>,
-    /// The tables are maintained no later than this.
+    /// The time by which the next maintenance of the tables is due.
     maintenance_at: Moment,
     log_at: Moment,
     outputs: VecDeque<Output>,
@@ -98,7 +99,7 @@
 }
 
 impl Engine {
-    /// A node that knows the endpoints of its configuration and whose sessions the policy decides on.
+    /// Creates a node with the endpoints of the configuration. The policy decides where its calls are sent.
     pub fn new(configuration: &Configuration, policy: Box<dyn CallPolicy>, now: Moment) -> Engine {
         let settings = &configuration.settings;
         let bounds = Bounds::new(configuration.limits, settings.max_sessions());
@@ -125,7 +126,7 @@
             cancelled: RecentIds::new(bounds.called_numbers),
             released: RecentIds::new(bounds.called_numbers),
             unchecked_invites: Vec::new(),
-            retiring: Vec::new(),
+            callers_to_close: Vec::new(),
             pending_releases: PendingReleases::default(),
             fleet: FleetObservations::new(settings.zones().to_vec()),
             shutdown: None,
@@ -146,7 +147,7 @@
         self.policy.advance_to(self.now);
     }
 
-    /// Updates state by what the host reports; nothing is decided yet.
+    /// Updates the state by an event from the host. Decisions are left to the next [`Engine::process`].
     pub fn handle_input(&mut self, now: Moment, input: Input<'_>) {
         self.advance_to(now);
         match input {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Does everything that is due, and carries the controller's decisions out.
+    /// Handles expired timers, runs maintenance if it is due, and carries out the controller's decisions.
     pub fn process(&mut self, now: Moment) {
         self.advance_to(now);
         while let Some(session) = self.calls.next_expired(self.now) {
@@ -226,27 +227,27 @@
         debug!(load = ?self.load(), "engine load");
     }
 
-    /// The host's next action.
+    /// Returns the next action for the host to carry out.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`Engine::process`] is due even if no input arrives.
+    /// Returns the time at which [`Engine::process`] must be called even if no input arrives.
     pub fn poll_timeout(&self) -> Option<Moment> {
         self.timeout
     }
 
-    /// The most callers' connections that may be open, those being closed included.
+    /// The maximum number of callers' connections, including those being closed.
     pub fn max_callers(&self) -> usize {
         self.bounds.callers + self.bounds.closing_callers
     }
 
-    /// The most bytes that may be queued for one connection's reader.
+    /// The maximum number of bytes that may be queued for writing on one connection.
     pub fn max_unwritten_bytes(&self) -> usize {
         self.bounds.unwritten_bytes
     }
 
-    /// The sizes of the tables.
+    /// Returns the current sizes of the tables.
     pub fn load(&self) -> EngineLoad {
         EngineLoad {
             calls: self.calls.len(),
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Notifies the caller of the controller's rejection.
+    /// Removes an unanswered call and sends its caller a rejection with a Q.850 cause.
     fn reject(&mut self, session: SessionIx, cause: u32, retry_after: Option<Span>) {
         let Some(call) = self.calls.remove(session) else { return };
         if let Some(caller) = self.callers.get_mut(call.caller) {
--- a/crates/ochrelead-node/src/engine/call_setup.rs
+++ b/crates/ochrelead-node/src/engine/call_setup.rs
@@ -1,4 +1,4 @@
-//! Set-ups: checked against the settings and the bounds, then passed to the controller.
+//! Validation of set-ups against the settings and the capacity of the tables; valid ones go to the controller.
 
 use ochrelead_core::config::ControllerConfig;
 use ochrelead_core::index::{ServiceIx, TenantIx};
@@ -13,28 +13,28 @@
 use crate::call_table::{Call, Phase};
 use crate::io::{CallerId, Output};
 
-/// The room that a SIP head takes beside a description.
+/// Bytes reserved for the start line and the headers of an INVITE, in addition to its session description.
 const MAX_HEAD_BYTES: usize = MAX_MESSAGE_LENGTH / 16;
-/// The destination of a set-up that may go to any server.
+/// The destination number of a set-up that any server may take.
 const ANY_DESTINATION: i64 = -1;
 
 /// A service class of the settings.
 struct Service {
     name: String,
-    /// The longest that its callers may wait; zero for no limit.
+    /// The maximum time that a set-up may allow for its answer; zero for no limit.
     max_wait: Span,
 }
 
-/// What set-ups may name: service classes, tenants and servers.
+/// The service classes, tenants and servers that set-ups may refer to.
 pub(super) struct ServiceCatalog {
     services: Vec<Service>,
     tenants: Vec<String>,
-    /// By service class, the numbers of the servers that may take its calls.
+    /// For each service class, the numbers of the servers that may take its calls.
     server_numbers: Vec<Vec<i64>>,
 }
 
-/// The service class and tenant that a valid set-up names.
-struct SetUpParties {
+/// The indices of the service class and the tenant that a valid set-up refers to.
+struct ResolvedSetUp {
     class: usize,
     tenant: Option<TenantIx>,
 }
@@ -54,7 +54,7 @@
         &self.services[class].name
     }
 
-    /// The longest that any caller waits; zero where a class has no limit.
+    /// The longest `max_wait` of all service classes; zero if any class has no limit.
     pub(super) fn longest_wait(&self) -> Span {
         let waits = || self.services.iter().map(|service| service.max_wait);
         if waits().any(|wait| wait == Span::ZERO) { Span::ZERO } else { waits().max().unwrap_or(Span::ZERO) }
@@ -73,10 +73,11 @@
 }
 
 impl Engine {
-    /// Passes a valid set-up to the controller; refuses it where the tables are full.
+    /// Validates a set-up and passes it to the controller. Refuses it if the tables are full or the shutdown is too far
+    /// advanced to answer it.
     pub(super) fn on_set_up(&mut self, id: CallerId, set_up: SetUpRequest) -> Result<(), MessageError> {
-        let SetUpParties { class, tenant } = self.check_set_up(&set_up)?;
-        if self.is_full_for(&set_up) || self.refuses_set_ups() {
+        let ResolvedSetUp { class, tenant } = self.check_set_up(&set_up)?;
+        if self.exceeds_capacity(&set_up) || self.refuses_set_ups() {
             let line = caller_messages::encode_down(set_up.call, cause::REFUSED, None);
             self.outputs.push_back(Output::SendToCaller(id, line));
             return Ok(());
@@ -100,18 +101,18 @@
             invite_count: 0,
             phase: Phase::Waiting,
         });
-        let may_be_regular = self.callers.get_mut(id).is_some_and(|caller| {
+        let is_possible_recipient = self.callers.get_mut(id).is_some_and(|caller| {
             caller.pending_sessions.push(session);
             !caller.is_verified && caller.pending_sessions.len() == 1
         });
-        if may_be_regular && self.callers.release_recipient(false).is_none() {
+        if is_possible_recipient && self.callers.release_recipient(false).is_none() {
             self.offer_pending_releases(id);
         }
         self.policy.on_call_request(session, request);
         Ok(())
     }
 
-    fn check_set_up(&self, set_up: &SetUpRequest) -> Result<SetUpParties, MessageError> {
+    fn check_set_up(&self, set_up: &SetUpRequest) -> Result<ResolvedSetUp, MessageError> {
         if self.calls.find(set_up.call).is_some() {
             return Err(MessageError::DuplicateCall);
         }
@@ -132,23 +133,23 @@
         if set_up.description.len() + MAX_HEAD_BYTES > MAX_MESSAGE_LENGTH {
             return Err(MessageError::DescriptionTooLong);
         }
-        Ok(SetUpParties { class, tenant })
+        Ok(ResolvedSetUp { class, tenant })
     }
 
-    fn is_full_for(&self, set_up: &SetUpRequest) -> bool {
+    fn exceeds_capacity(&self, set_up: &SetUpRequest) -> bool {
         let description_bytes = self.calls.description_bytes() + set_up.description.len();
         self.calls.len() >= self.bounds.calls || description_bytes > self.bounds.description_bytes
     }
 
-    /// Takes over a call that a former incarnation of this node, or another node, has established, so that its release
-    /// reaches the caller.
+    /// Takes over a call that another node or a former incarnation of this node has established, so that the call's
+    /// release can be sent to the caller.
     pub(super) fn on_established_elsewhere(&mut self, id: CallerId, call: CallId, server: &str) {
-        debug!(target: CALL_END_LOG, ?call, server, caller = id.0, "call reported as established");
+        debug!(target: CALL_END_LOG, ?call, server, caller = id.0, "caller reports an established call");
         if self.calls.find(call).is_some() {
             return;
         }
         let server = self.servers.find(server).filter(|server| !self.servers.get(*server).is_gone());
-        // A server that released the call before the caller named it does not release it again.
+        // A server that released the call before the caller reported it does not send the release again.
         let server = server.filter(|_| !self.released.contains(call.as_str()));
         let Some(server) = server.filter(|_| self.calls.len() < self.bounds.calls) else {
             self.outputs
--- a/crates/ochrelead-node/src/engine/caller_side.rs
+++ b/crates/ochrelead-node/src/engine/caller_side.rs
@@ -1,4 +1,4 @@
-//! The side of the callers: their connections and the lines on them.
+//! The callers' side of the node: their connections and the lines received on them.
 
 use ochrelead_core::index::SessionIx;
 use ochrelead_core::types::InviteOutcome;
@@ -18,24 +18,25 @@
         self.evict_surplus_callers();
     }
 
-    /// Beyond the bound, connections that are not in use are closed, unless something has arrived on them.
+    /// Schedules connections without a pending set-up for closing while there are more than the bound allows.
     fn evict_surplus_callers(&mut self) {
-        let surplus = self.callers.len().saturating_sub(self.bounds.callers + self.retiring.len());
-        for caller in self.callers.eviction_candidates(surplus, &self.retiring) {
-            self.retire(caller);
+        let surplus = self.callers.len().saturating_sub(self.bounds.callers + self.callers_to_close.len());
+        for caller in self.callers.eviction_candidates(surplus, &self.callers_to_close) {
+            self.schedule_close(caller);
         }
     }
 
-    /// Closes a connection once everything that has arrived on it is read and no set-up was among that: one that was
-    /// written before the close is owed its answer.
-    fn retire(&mut self, caller: CallerId) {
-        if !self.retiring.contains(&caller) {
-            self.retiring.push(caller);
+    /// Closes a connection once its received input has been read, unless that contains a set-up: a set-up sent before
+    /// the close must be answered.
+    fn schedule_close(&mut self, caller: CallerId) {
+        if !self.callers_to_close.contains(&caller) {
+            self.callers_to_close.push(caller);
             self.outputs.push_back(Output::DrainInput(caller));
         }
     }
 
-    /// Everything that had arrived from a caller was read: its INVITEs may leave, its connection may be closed.
+    /// Sends the INVITEs that were held back until the caller's input was read, and closes its connection if that was
+    /// scheduled and the connection is still unused.
     pub(super) fn on_input_drained(&mut self, id: CallerId) {
         let checked: Vec<SessionIx> = self
             .unchecked_invites
@@ -47,8 +48,8 @@
         for session in checked {
             self.send_invite(session);
         }
-        if self.retiring.contains(&id) {
-            self.retiring.retain(|caller| *caller != id);
+        if self.callers_to_close.contains(&id) {
+            self.callers_to_close.retain(|caller| *caller != id);
             let now = self.now;
             let is_unused = |caller: &Caller| {
                 caller.pending_sessions.is_empty() && (!caller.is_mid_line(now) || caller.is_overdue(now))
@@ -59,7 +60,8 @@
         }
     }
 
-    /// A caller sends nothing more: its set-ups are rejected. One that only shut its side down still reads that.
+    /// Rejects the pending set-ups of a caller that shut its side down for writing, since it may still read the
+    /// rejections, and closes the connection.
     pub(super) fn on_caller_half_closed(&mut self, id: CallerId) {
         let pending = self.callers.get(id).map(|caller| caller.pending_sessions.clone());
         for session in pending.unwrap_or_default() {
@@ -84,17 +86,17 @@
                 "caller connection closed"
             );
         }
-        self.retiring.retain(|retiring| *retiring != id);
+        self.callers_to_close.retain(|caller| *caller != id);
         for session in caller.pending_sessions {
             self.cancel_call(session);
         }
-        // What was sent as it closed may not have been read.
+        // The caller may not have read these releases before the connection closed: they are sent again.
         for release in caller.unconfirmed_releases {
             self.queue_release(release);
         }
     }
 
-    /// The node closes a connection; set-ups pending on it are cancelled.
+    /// Closes a connection and cancels the set-ups pending on it.
     fn close_caller(&mut self, caller: CallerId, reason: &'static str) {
         debug!(caller = caller.0, reason, "caller connection closed by the node");
         self.on_caller_disconnected(caller);
@@ -105,12 +107,12 @@
         self.pending_releases.start_round();
         self.send_pending_releases();
         for caller in self.callers.expired(self.now) {
-            self.retire(caller);
+            self.schedule_close(caller);
         }
         self.evict_surplus_callers();
     }
 
-    // ---- LineSplitter ----
+    // ---- Lines ----
 
     pub(super) fn on_caller_data(&mut self, id: CallerId, bytes: &[u8]) {
         let Some(caller) = self.callers.get_mut(id) else { return };
@@ -120,7 +122,7 @@
             match caller_messages::parse(&line) {
                 Ok(message) => self.on_caller_message(id, message),
                 Err(InvalidMessage { call, error }) => {
-                    trace!(caller = id.0, %error, "invalid line");
+                    trace!(caller = id.0, %error, "invalid line from caller");
                     self.reject_line(id, call);
                 }
             }
@@ -138,7 +140,7 @@
             CallerMessage::SetUp(set_up) => {
                 let call = set_up.call;
                 if let Err(error) = self.on_set_up(id, set_up) {
-                    trace!(caller = id.0, %error, "invalid set-up");
+                    trace!(caller = id.0, %error, "invalid set-up from caller");
                     self.reject_line(id, Some(call));
                 }
             }
@@ -161,27 +163,29 @@
         }
     }
 
-    /// Answers an invalid line with an error. A connection that sent nothing valid yet is closed as well.
+    /// Answers an invalid line with an error. Closes the connection if it has sent nothing valid yet, or if the line
+    /// names no call or a call of this connection.
     fn reject_line(&mut self, id: CallerId, call: Option<CallId>) {
-        // The id may be that of a call pending on this connection: an error would be taken for its answer.
+        // The caller would take an error with the id of its pending call for the answer to that call.
         let session = call.and_then(|call| self.calls.find(call));
-        let is_own =
+        let is_own_call =
             session.and_then(|session| self.calls.get(session)).is_some_and(|call| call.caller == id);
         let line = match call {
             Some(call) => caller_messages::encode_down(call, cause::INVALID, None),
             None => caller_messages::encode_invalid(),
         };
         let Some(caller) = self.callers.get(id) else { return };
-        let was_valid = caller.is_verified || !caller.pending_sessions.is_empty();
-        if !is_own {
+        let has_sent_valid_line = caller.is_verified || !caller.pending_sessions.is_empty();
+        if !is_own_call {
             self.outputs.push_back(Output::SendToCaller(id, line));
         }
-        if !was_valid || is_own || call.is_none() {
+        if !has_sent_valid_line || is_own_call || call.is_none() {
             self.close_caller(id, "invalid line");
         }
     }
 
-    /// Cancels a set-up, on its own connection, or releases an established call, on any.
+    /// Cancels a pending set-up if the request arrives on the connection of the set-up, or releases an established call
+    /// on request from any connection.
     fn on_release_request(&mut self, id: CallerId, call_id: CallId) {
         self.outputs.push_back(Output::SendToCaller(id, caller_messages::encode_acknowledgement(call_id)));
         let Some(session) = self.calls.find(call_id) else { return };
@@ -202,14 +206,14 @@
         }
     }
 
-    /// Removes a call whose caller no longer waits for the answer.
+    /// Cancels and removes an unanswered call whose caller no longer waits for the answer.
     fn cancel_call(&mut self, session: SessionIx) {
-        self.release_from_controller(session);
+        self.withdraw_from_controller(session);
         self.calls.remove(session);
     }
 
-    /// Takes an unanswered call away from the controller, and cancels its INVITE.
-    pub(super) fn release_from_controller(&mut self, session: SessionIx) {
+    /// Reports to the controller that an unanswered call has ended, and cancels its INVITE.
+    pub(super) fn withdraw_from_controller(&mut self, session: SessionIx) {
         let Some(phase) = self.calls.phase(session) else { return };
         self.policy.on_caller_gone(session);
         if let Phase::Inviting(invite) = phase {
@@ -218,7 +222,7 @@
         }
     }
 
-    /// A call was established for a caller: its connection is a regular one.
+    /// Marks a caller as verified once a call has been established for it.
     pub(super) fn verify_caller(&mut self, id: CallerId, session: SessionIx) {
         let Some(caller) = self.callers.get_mut(id) else { return };
         caller.pending_sessions.retain(|pending| *pending != session);
--- a/crates/ochrelead-node/src/engine/observations.rs
+++ b/crates/ochrelead-node/src/engine/observations.rs
@@ -1,4 +1,5 @@
-//! What the engine observes at servers, for the coordination with other fronts, and what that tells it in turn.
+//! The interface between the engine and the coordination with other fronts: the engine reports what it observes at
+//! servers, and receives traffic shares of zones and the times at which other fronts heard a server.
 
 use std::collections::VecDeque;
 
@@ -10,14 +11,14 @@
 use crate::observation::{Observation, ServerActivity, ServerReport, SupersededToken, TrafficShare};
 use crate::server_table::Server;
 
-/// What the engine holds for the coordination with other fronts.
+/// Observations queued for the coordination with other fronts, and the zone settings received from it.
 pub(super) struct FleetObservations {
     is_enabled: bool,
     observations: VecDeque<Observation>,
     superseded: VecDeque<SupersededToken>,
-    /// The names of the zones, by their numbers.
+    /// The names of the zones; the index is the zone's number.
     zone_names: Vec<String>,
-    /// The zones that take less than their full share.
+    /// The shares of the zones whose traffic is reduced.
     shares: Vec<TrafficShare>,
 }
 
@@ -34,7 +35,7 @@
 }
 
 impl Engine {
-    /// The servers in service, as this front sees them.
+    /// Returns when each server in service was last heard, and the zones of those whose zones are known.
     pub fn server_report(&self) -> ServerReport {
         let ready: Vec<ServerIx> =
             self.servers.indices().filter(|server| self.servers.get(*server).is_ready()).collect();
@@ -52,17 +53,17 @@
         }
     }
 
-    /// Collects observations from now on.
+    /// Starts the collection of observations.
     pub fn enable_observations(&mut self) {
         self.fleet.is_enabled = true;
     }
 
-    /// The next observation.
+    /// Removes and returns the oldest queued observation.
     pub fn poll_observation(&mut self) -> Option<Observation> {
         self.fleet.observations.pop_front()
     }
 
-    /// Keeps an observation until the host's next turn; no more than there may be calls.
+    /// Queues an observation until the host polls it. At most as many are queued as calls are allowed.
     pub(super) fn observe(&mut self, observation: Observation) {
         if self.fleet.is_enabled && self.fleet.observations.len() < self.bounds.calls {
             self.fleet.observations.push_back(observation);
@@ -86,7 +87,7 @@
         ServerKey::from_name(&self.servers.get(server).id)
     }
 
-    /// The zone of a server, by the name or the number that the endpoint list gives.
+    /// The zone of a server; the endpoint list identifies it by name or by number.
     fn zone(&self, server: ServerIx) -> Option<ZoneId> {
         let name = self.servers.get(server).zone.as_ref()?;
         let zone_count = self.fleet.zone_names.len();
@@ -97,7 +98,7 @@
         (zone < MAX_ZONES && (zone as usize) < zone_count).then_some(ZoneId(zone))
     }
 
-    /// Sets the shares of the zones that take less than all of their sessions; the others take all.
+    /// Sets the shares of the zones whose traffic is reduced. All other zones take their full traffic.
     pub fn set_traffic_shares(&mut self, shares: Vec<TrafficShare>) {
         self.fleet.shares = shares;
         for server in self.servers.indices() {
@@ -111,7 +112,7 @@
         self.policy.on_zone_share(server, reduced.map_or(1.0, |reduced| reduced.share));
     }
 
-    /// Another front heard a server at that moment.
+    /// Records the time at which another front heard a server.
     pub fn on_heard_by_peer(&mut self, server: &str, heard_at: Moment) {
         if let Some(server) = self.servers.find(server) {
             let heard_at = heard_at.min(self.now);
@@ -120,20 +121,20 @@
         }
     }
 
-    /// The next refusal of a health check under a token that a higher one has superseded.
+    /// Removes and returns the oldest queued report of a health check refused because of a higher fencing token.
     pub fn poll_superseded_token(&mut self) -> Option<SupersededToken> {
         self.fleet.superseded.pop_front()
     }
 
-    /// Keeps a refusal until the host's next turn; no more than there may be servers.
-    pub(super) fn note_superseded(&mut self, token: SupersededToken) {
+    /// Queues such a report until the host polls it. At most as many are queued as servers are allowed.
+    pub(super) fn queue_superseded_token(&mut self, token: SupersededToken) {
         if self.fleet.superseded.len() < self.bounds.servers {
             self.fleet.superseded.push_back(token);
         }
     }
 }
 
-/// The number of a session's INVITE among observations.
+/// The number that identifies the INVITE of a session in observations.
 pub(super) fn invite_id(session: SessionIx) -> u64 {
     session.index() as u64
 }
--- a/crates/ochrelead-node/src/engine/releases.rs
+++ b/crates/ochrelead-node/src/engine/releases.rs
@@ -1,5 +1,5 @@
-//! Releases of established calls towards their callers: on the call's own connection, else on that of another verified
-//! caller, else once there is one.
+//! Releases of established calls towards their callers. A release is sent on the connection of its call; if that has
+//! closed, on the connection of another verified caller, as soon as there is one.
 
 use std::collections::VecDeque;
 
@@ -12,11 +12,11 @@
 use crate::caller_table::Release;
 use crate::io::{CallerId, Output};
 
-/// Releases whose own connection has closed.
+/// Releases that wait for a caller's connection, because the connection of their call has closed.
 #[derive(Default)]
 pub(super) struct PendingReleases {
     queue: VecDeque<Release>,
-    /// How many were sent since the last maintenance round.
+    /// Releases sent from the queue since the last maintenance round.
     sent_this_round: usize,
 }
 
@@ -25,7 +25,7 @@
         self.queue.is_empty()
     }
 
-    /// The caller has confirmed the release of a call.
+    /// Removes a release that a caller has confirmed.
     pub(super) fn confirm(&mut self, call: CallId) {
         self.queue.retain(|release| release.call != call);
     }
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Queues a release whose own connection has closed.
+    /// Queues a release after the connection of its call has closed.
+    /// Drops it if the queue is full.
     pub(super) fn queue_release(&mut self, release: Release) {
         if self.pending_releases.queue.len() < self.bounds.pending_releases {
             self.pending_releases.queue.push_back(release);
@@ -64,7 +65,8 @@
         self.send_pending_releases();
     }
 
-    /// Sends pending releases on a verified caller's connection; between two rounds no more than one reader can take.
+    /// Sends pending releases on the connection of a verified caller. Between two maintenance rounds, at most
+    /// `releases_per_round` are sent, so that they do not overflow the queue of one slow reader.
     pub(super) fn send_pending_releases(&mut self) {
         while self.pending_releases.sent_this_round < self.bounds.releases_per_round
             && let Some(caller) = self.callers.release_recipient(self.shutdown.is_some())
@@ -82,8 +84,8 @@
         }
     }
 
-    /// Sends the pending releases to a caller that may be a regular one where no verified one is there. They stay
-    /// pending until a caller is verified or has confirmed them.
+    /// Sends pending releases to an unverified caller while no verified one is connected. They stay pending until a
+    /// caller is verified or has confirmed them.
     pub(super) fn offer_pending_releases(&mut self, caller: CallerId) {
         for release in self.pending_releases.queue.iter().take(self.bounds.releases_per_round) {
             let line = caller_messages::encode_down(release.call, release.cause, None);
@@ -96,7 +98,7 @@
         self.outputs.push_back(Output::SendToCaller(id, line));
         let capacity = self.bounds.unconfirmed_releases;
         if let Some(caller) = self.callers.get_mut(id) {
-            // Of a caller that confirms nothing the oldest are taken as confirmed.
+            // If a caller does not confirm releases, the oldest ones are treated as confirmed.
             if caller.unconfirmed_releases.len() >= capacity {
                 caller.unconfirmed_releases.pop_front();
             }
--- a/crates/ochrelead-node/src/engine/server_connections.rs
+++ b/crates/ochrelead-node/src/engine/server_connections.rs
@@ -1,4 +1,4 @@
-//! The connections to the signalling servers: opened, kept ready, closed, and what their ends mean for calls.
+//! The connections to the signalling servers: when they are opened and closed, and which calls end with them.
 
 use std::collections::BTreeSet;
 use std::mem;
@@ -15,18 +15,19 @@
 use crate::io::{Output, ServerConnectionId};
 use crate::server_table::{ConnectionState, ServerTransition};
 
-/// Idle connections that a server in service has ready: as many broken ones cost no time.
+/// Idle connections kept open to each server in service, so that an INVITE need not wait for a new connection when up
+/// to that many break.
 const SPARE_CONNECTIONS: usize = 2;
-/// A server with so many failed connection attempts, and silent, is presumed dead.
+/// The number of failed connection attempts at which a silent server is presumed dead.
 const MAX_FAILED_CONNECTS: u32 = 2;
 
-/// How many connections a server needs.
+/// The connections that a server needs.
 struct ConnectionDemand {
-    /// How many idle ones it lacks.
+    /// The number of connections to open.
     missing: usize,
-    /// An INVITE or a release can't be sent without one.
+    /// Whether an INVITE or a release waits for an open connection.
     is_urgent: bool,
-    /// Whether it needs a probe.
+    /// Whether the server has been silent for so long that a new connection is needed to probe it.
     is_silent: bool,
 }
 
@@ -37,7 +38,7 @@
         connection.since = self.now;
         connection.last_used = self.now;
         let server_ix = connection.server;
-        self.note_heard(server_ix);
+        self.mark_server_alive(server_ix);
         let server = self.servers.get_mut(server_ix);
         server.awaits_repeated_releases = false;
         let waiting_invites = mem::take(&mut server.waiting_invites);
@@ -58,7 +59,7 @@
         }
         let in_flight = connection.sessions.len();
         let (server, state) = (&self.servers.get(server_ix).id, connection.state);
-        debug!(server, connection = id.0, ?state, in_flight, refused, "server connection ended");
+        debug!(server, connection = id.0, ?state, in_flight, refused, "connection to server ended");
         let is_cut_off = connection.partial_since.is_some() || !connection.sessions.is_empty();
         for session in connection.sessions {
             self.end_invite(session, InviteOutcome::Reset);
@@ -73,19 +74,19 @@
             self.expect_repeated_releases(server_ix);
         }
         if refused || ended_early {
-            // A server that refuses one while others are open takes no more of them for now.
+            // A server that refuses a connection while others are open accepts no more of them for the time being.
             let delay = if refused && has_others { self.connect_timeout * 2 } else { retry_delay };
             self.servers.get_mut(server_ix).reconnect_at = self.now + delay;
         }
         if refused && !has_others {
-            // Nobody listens there: the process has ended, and its calls with it.
+            // No process listens at the address: the server has ended, and its calls with it.
             self.presume_dead(server_ix);
         }
         self.maintenance_at = self.now;
     }
 
-    /// Closes an idle connection. The release of a call may be in flight on it, and its server would not send it again:
-    /// what arrives until the server closes it too is still read.
+    /// Shuts an idle connection down for writing, and reads it until the server closes it too: a release may be in
+    /// flight on it, which the server would not send again.
     fn half_close(&mut self, id: ServerConnectionId) {
         if let Some(connection) = self.servers.connection_mut(id) {
             connection.state = ConnectionState::HalfClosed;
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Closes a connection that can't be read on, or whose message never ends: the INVITEs in flight on it have failed.
+    /// Closes a connection that sent an invalid message or has stalled. The INVITEs in flight on it fail.
     pub(super) fn abort_connection(&mut self, id: ServerConnectionId) {
         self.outputs.push_back(Output::CloseServerConnection(id));
         let connection = self.servers.connection(id);
@@ -105,15 +106,17 @@
         self.on_server_disconnected(id, false);
     }
 
-    /// A release may be lost with a connection that did not end between two messages: the server repeats it on the next
-    /// one. An orderly end loses nothing, and servers that end one because they hold too many want no other.
+    /// Marks a server with established calls as needing a new connection, after one was aborted or ended within a message
+    /// or with an INVITE in flight. A release may have been lost with it, and the server repeats that release on its next
+    /// connection. An orderly close loses nothing, and a server that closes connections because it has too many must not
+    /// be sent another one.
     fn expect_repeated_releases(&mut self, server: ServerIx) {
         if self.calls.has_established_at(server) {
             self.servers.get_mut(server).awaits_repeated_releases = true;
         }
     }
 
-    /// A server has ended without saying so.
+    /// Ends all calls, INVITEs and connections of a server that has failed without notice.
     fn presume_dead(&mut self, server: ServerIx) {
         for id in self.servers.get(server).connections.clone() {
             let is_established = self
@@ -130,7 +133,7 @@
         self.end_calls(server, self.now);
     }
 
-    /// Ends the calls that a server established before a moment.
+    /// Ends the calls of a server that were established no later than `established_until`.
     fn end_calls(&mut self, server: ServerIx, established_until: Moment) {
         let sessions: Vec<SessionIx> = self.calls.established_at(server).collect();
         for session in sessions {
@@ -138,7 +141,7 @@
             if matches!(phase, Some(Phase::Established { since, .. }) if since <= established_until) {
                 let call = self.calls.get(session).map(|call| call.id);
                 let server_id = &self.servers.get(server).id;
-                debug!(target: CALL_END_LOG, ?call, server = server_id, "server of a call ended");
+                debug!(target: CALL_END_LOG, ?call, server = server_id, "call ended with its server");
                 self.policy.on_invite_ended(session, server, InviteOutcome::Reset, true);
                 self.release(session, cause::FAILED);
             }
@@ -157,17 +160,17 @@
         }
     }
 
-    /// Gives stalled connections up, opens missing ones and closes surplus ones.
+    /// Closes stalled connections, opens missing ones and closes surplus ones.
     pub(super) fn maintain_servers(&mut self) {
         for id in self.servers.stalled_connections(self.now, self.connect_timeout) {
-            self.give_up_connection(id);
+            self.close_stalled_connection(id);
         }
         for server in self.servers.indices() {
             self.maintain_server(server);
         }
     }
 
-    fn give_up_connection(&mut self, id: ServerConnectionId) {
+    fn close_stalled_connection(&mut self, id: ServerConnectionId) {
         let Some(connection) = self.servers.connection(id) else { return };
         let (server_ix, state) = (connection.server, connection.state);
         self.abort_connection(id);
@@ -175,7 +178,7 @@
             let now = self.now;
             let server = self.servers.get_mut(server_ix);
             server.failed_connects += 1;
-            // Connections that are never established and no message: the machine has vanished.
+            // Connection attempts time out and no message arrives: the machine is unreachable.
             if server.failed_connects >= MAX_FAILED_CONNECTS && server.is_silent(now) {
                 self.presume_dead(server_ix);
             }
@@ -192,7 +195,7 @@
         let active = self.servers.active_count(server);
         let is_at_limit = active >= self.connection_limit();
         if demand.is_silent && demand.missing > 0 && is_at_limit {
-            // A silent server has all the connections that it may have: one makes room for a probe.
+            // The server is at its connection limit: an idle connection is closed to make room for a probe.
             if let Some(oldest) = idle.first() {
                 self.half_close(*oldest);
             }
@@ -202,8 +205,8 @@
         self.close_unneeded_connections(&idle);
     }
 
-    /// A removed server is not connected to again, for another may listen at its address by now. Once it falls silent
-    /// or closes its connections, it has ended.
+    /// Presumes a removed server dead once it is silent or has no open connection. The node opens no new connection to
+    /// it, because another server may listen at its address by now.
     fn maintain_gone_server(&mut self, index: ServerIx) {
         let server = self.servers.get(index);
         let has_ended = server.is_silent(self.now) || !self.servers.has_open_connection(index);
@@ -213,7 +216,7 @@
         }
     }
 
-    /// Ends the INVITEs that have waited for a connection for too long.
+    /// Fails the INVITEs that have waited for a connection for the connect time-out.
     fn fail_overdue_invites(&mut self, server: ServerIx) {
         let overdue: Vec<SessionIx> = self
             .servers
@@ -221,14 +224,14 @@
             .waiting_invites
             .iter()
             .copied()
-            .filter(|session| self.is_overdue(*session))
+            .filter(|session| self.has_waited_too_long(*session))
             .collect();
         for session in overdue {
             self.end_invite(session, InviteOutcome::ConnectFailed);
         }
     }
 
-    fn is_overdue(&self, session: SessionIx) -> bool {
+    fn has_waited_too_long(&self, session: SessionIx) -> bool {
         let Some(Phase::Inviting(invite)) = self.calls.phase(session) else { return false };
         self.now.since(invite.requested_at) >= self.connect_timeout
     }
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Opens the missing connections, as many as the server's share and the bound on all allow.
+    /// Opens the missing connections, within the server's share and the bound on all server connections.
     fn open_missing_connections(&mut self, index: ServerIx, demand: &ConnectionDemand) {
         let server = self.servers.get(index);
         if server.reconnect_at > self.now {
@@ -272,7 +275,7 @@
                 break;
             }
             if self.servers.connection_count() >= bound {
-                // More servers than connections: the least recently used one makes room for what is needed.
+                // The bound on all server connections is reached: the least recently used one is closed.
                 let Some(oldest) = self.servers.least_recently_used() else { break };
                 self.half_close(oldest);
             }
@@ -281,8 +284,8 @@
         }
     }
 
-    /// Closes idle connections beyond need, and those that their server is about to close: an INVITE that crossed that
-    /// would be lost.
+    /// Closes surplus idle connections, and those that their server is about to close: an INVITE that races with the
+    /// server's close would be lost.
     fn close_unneeded_connections(&mut self, idle: &[ServerConnectionId]) {
         let idle_time = |id: &ServerConnectionId| {
             self.servers.connection(*id).map_or(Span::ZERO, |connection| self.now.since(connection.last_used))
@@ -297,12 +300,12 @@
         }
     }
 
-    /// How many connections one server may have.
+    /// The maximum number of connections to one server.
     fn connection_limit(&self) -> usize {
         self.servers.share_per_server(self.bounds.server_connections)
     }
 
-    /// How many idle connections a server in service has ready.
+    /// The number of idle connections kept open to each server in service.
     pub(super) fn spare_connections(&self) -> usize {
         SPARE_CONNECTIONS.min(self.connection_limit())
     }
--- a/crates/ochrelead-node/src/engine/server_messages.rs
+++ b/crates/ochrelead-node/src/engine/server_messages.rs
@@ -1,4 +1,4 @@
-//! The messages that signalling servers send, and what they mean for calls.
+//! Handling of the messages from signalling servers: responses to INVITEs, releases and load reports.
 
 use ochrelead_core::index::{ServerIx, SessionIx};
 use ochrelead_core::types::InviteOutcome;
@@ -13,7 +13,7 @@
 use crate::observation::{Observation, SupersededToken};
 use crate::{fencing, occupancy, outcomes};
 
-/// Who a response to an INVITE came from and which INVITE it answers.
+/// The origin of a response to an INVITE, and the INVITE that it answers.
 #[derive(Clone, Copy)]
 struct InviteResponse {
     connection: ServerConnectionId,
@@ -22,7 +22,7 @@
     sequence: u32,
 }
 
-/// A message that no signalling server sends: its connection can't be read on.
+/// The message violates the protocol; its connection must be closed.
 struct InvalidMessage;
 
 impl Engine {
@@ -35,7 +35,7 @@
             let Some(connection) = self.servers.connection_mut(id) else { return };
             match connection.framer.next_message() {
                 Some(Ok(message)) => {
-                    self.note_heard(server);
+                    self.mark_server_alive(server);
                     if self.on_server_message(id, server, &message).is_err() {
                         return self.abort_connection(id);
                     }
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Notes that a server has just been heard.
-    pub(super) fn note_heard(&mut self, id: ServerIx) {
+    /// Records that a message arrived from a server or a connection to it was established.
+    pub(super) fn mark_server_alive(&mut self, id: ServerIx) {
         let server = self.servers.get_mut(id);
         server.last_heard = self.now;
         server.failed_connects = 0;
@@ -69,7 +69,7 @@
             self.policy.on_line_capacity(server, capacity);
         }
         self.policy.on_load_report(server, occupancy::load_report(message));
-        self.note_health_check_response(server, message);
+        self.handle_health_check_response(server, message);
         let call = message.header(header::CALL_ID).and_then(CallId::parse);
         match &message.start {
             StartLine::Request { method, .. } => {
@@ -93,14 +93,14 @@
         }
     }
 
-    /// Tells the response to a health check from what a server sends unprompted; a refused check names the highest token
-    /// that the server has seen.
-    fn note_health_check_response(&mut self, server: ServerIx, message: &Message) {
+    /// Distinguishes responses to health checks from other messages. The refusal of a health check carries the highest
+    /// fencing token that the server has seen.
+    fn handle_health_check_response(&mut self, server: ServerIx, message: &Message) {
         if message.sequence().is_none_or(|(_, method)| method != "OPTIONS") {
             self.servers.get_mut(server).last_unprompted = self.now;
         } else if let Some(highest) = message.header(fencing::TOKEN_HEADER).and_then(fencing::parse_token) {
             let server = self.servers.get(server).id.clone();
-            self.note_superseded(SupersededToken { server, highest });
+            self.queue_superseded_token(SupersededToken { server, highest });
         }
     }
 
@@ -120,11 +120,11 @@
         if self.servers.is_open(id) {
             self.outputs.push_back(Output::SendToServer(id, requests::ok(message, method)));
         } else {
-            debug!(target: CALL_END_LOG, ?call, method, "request on a half-closed connection");
+            debug!(target: CALL_END_LOG, ?call, method, "request on half-closed connection not answered");
         }
     }
 
-    /// The session whose current INVITE a response answers.
+    /// The session whose current INVITE a response answers; `None` if the response is stale or its call unknown.
     fn answered_session(&self, response: InviteResponse) -> Option<SessionIx> {
         let session = self.calls.find(response.call)?;
         let call = self.calls.get(session)?;
@@ -134,7 +134,8 @@
         is_current.then_some(session)
     }
 
-    /// A server accepted an INVITE. A call that nobody waits for is released; a repeated response is ignored.
+    /// Establishes the call whose INVITE a server accepted. Releases the call at once if its INVITE has been cancelled;
+    /// ignores a repeated response.
     fn on_invite_accepted(
         &mut self,
         response: InviteResponse,
@@ -169,8 +170,8 @@
         Ok(())
     }
 
-    /// Whether a call that a server has established belongs to nobody: its INVITE there was cancelled, and the call is
-    /// elsewhere or nowhere now. A repeated response does not count, nor a call id that was never sent.
+    /// Whether a server has established a call that no caller waits for: an INVITE of the call was cancelled, and the
+    /// call has ended or is not at that server. False for a repeated response and for an unknown call id.
     fn is_orphaned(&self, server: ServerIx, call: CallId) -> bool {
         if !self.cancelled.contains(call.as_str()) {
             return false;
@@ -192,7 +193,7 @@
         self.end_invite(session, outcome);
     }
 
-    /// A server releases a call.
+    /// Handles the release of a call by a server.
     fn on_bye(&mut self, server: ServerIx, call: CallId, message: &Message) {
         let session = self.calls.find(call);
         let phase = session.and_then(|session| self.calls.phase(session));
@@ -200,7 +201,13 @@
             matches!(phase, Some(Phase::Established { server: current, .. }) if current == server);
         if !is_established_there {
             let server = &self.servers.get(server).id;
-            debug!(target: CALL_END_LOG, ?call, server, ?phase, "release of a call not established there");
+            debug!(
+                target: CALL_END_LOG,
+                ?call,
+                server,
+                ?phase,
+                "release from a server at which the call is not established"
+            );
         }
         let Some(session) = session else { return self.released.insert(call.as_str()) };
         match phase {
@@ -218,7 +225,7 @@
     }
 }
 
-/// Whether a description is one as servers send them: lines of text, each ended.
+/// Whether a session description is complete: it ends with CRLF and contains no NUL character.
 fn is_complete(description: &str) -> bool {
     description.ends_with("\r\n") && !description.contains('\0')
 }
--- a/crates/ochrelead-node/src/engine/server_side.rs
+++ b/crates/ochrelead-node/src/engine/server_side.rs
@@ -1,4 +1,4 @@
-//! The side of the signalling servers: INVITEs, cancellations, releases and health checks that the node sends.
+//! The INVITEs, cancellations, releases and health checks that the node sends to signalling servers.
 
 use ochrelead_core::index::{ServerIx, SessionIx};
 use ochrelead_core::time::Span;
@@ -14,7 +14,7 @@
 use crate::io::{Output, ServerConnectionId};
 use crate::observation::Observation;
 
-/// The call id of requests outside of any call.
+/// The call id of requests that belong to no call.
 const NO_CALL: &str = "0000000000000000";
 
 impl Engine {
@@ -34,8 +34,8 @@
         self.check_and_send_invite(session);
     }
 
-    /// Sends an INVITE once the caller's input has been drained: none is begun for a caller that has left, however long
-    /// what says so has waited to be read.
+    /// Sends an INVITE once all input received from the caller has been read, so that none is sent for a caller whose
+    /// cancellation or disconnection is waiting to be read.
     pub(super) fn check_and_send_invite(&mut self, session: SessionIx) {
         let Some(call) = self.calls.get(session) else { return };
         let Phase::Inviting(invite) = call.phase else { return };
@@ -54,7 +54,7 @@
         self.maintenance_at = self.now;
     }
 
-    /// Sends an INVITE on a connection to its server; where none is open it waits for one.
+    /// Sends an INVITE on a connection to its server. If none is open, the INVITE waits for one.
     pub(super) fn send_invite(&mut self, session: SessionIx) {
         let Some(call) = self.calls.get(session) else { return };
         let Phase::Inviting(invite @ Invite { connection: None, .. }) = call.phase else { return };
@@ -89,10 +89,10 @@
         }
     }
 
-    /// An INVITE has ended without an established call; the controller decides how its session goes on.
+    /// Ends an INVITE that established no call. The controller decides whether the session is retried.
     pub(super) fn end_invite(&mut self, session: SessionIx, outcome: InviteOutcome) {
         let Some(Phase::Inviting(invite)) = self.calls.phase(session) else { return };
-        // The answer to an INVITE has been observed already.
+        // If the server answered the INVITE, `InviteAnswered` has been reported before.
         let invite_id = invite_id(session);
         self.observe(match outcome {
             InviteOutcome::Reset | InviteOutcome::ConnectFailed => {
@@ -107,12 +107,13 @@
         }
         let call = self.calls.get(session).map(|call| call.id);
         let server = &self.servers.get(invite.server).id;
-        debug!(?call, server, ?outcome, duration = ?self.now.since(invite.requested_at), "INVITE ended");
+        let duration = self.now.since(invite.requested_at);
+        debug!(?call, server, ?outcome, ?duration, "INVITE ended without an established call");
         self.calls.set_phase(session, Phase::Waiting);
         self.policy.on_invite_ended(session, invite.server, outcome, false);
     }
 
-    /// Cancels an INVITE: its server is notified where it had been sent.
+    /// Cancels an INVITE, and notifies its server if it had been sent.
     pub(super) fn cancel_invite(&mut self, session: SessionIx) {
         self.observe(Observation::InviteCancelled { invite: invite_id(session) });
         let Some(call) = self.calls.get(session) else { return };
@@ -125,7 +126,7 @@
         self.detach_invite(session, invite);
     }
 
-    /// Removes an INVITE from its connection, or from those that wait for one.
+    /// Removes an INVITE from its connection, or from the queues of INVITEs that have not been sent.
     fn detach_invite(&mut self, session: SessionIx, invite: Invite) {
         match invite.connection {
             Some(connection) => {
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Releases a call at its server: on the connection of its set-up, else on any, else once one is open.
+    /// Releases a call at its server. The BYE is sent on the connection of the set-up if it is open, otherwise on any
+    /// other, or as soon as one is open.
     pub(super) fn send_bye(
         &mut self,
         server: ServerIx,
@@ -149,8 +151,8 @@
         call: CallId,
         cause: u32,
     ) {
-        let own = connection.filter(|id| self.servers.is_open(*id));
-        match own.or_else(|| self.servers.select_connection(server)) {
+        let set_up_connection = connection.filter(|id| self.servers.is_open(*id));
+        match set_up_connection.or_else(|| self.servers.select_connection(server)) {
             Some(id) => self.outputs.push_back(Output::SendToServer(id, requests::bye(call, cause))),
             None => {
                 let capacity = self.bounds.pending_releases;
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Sends a health check on behalf of the fleet under a fencing token; where no connection is open, one is made.
+    /// Sends a health check under a fencing token on behalf of all fronts. If no connection is open, only requests one.
     pub fn send_health_check(&mut self, server: &str, token: FencingToken) {
         let Some(server) = self.servers.find(server) else { return };
         if !self.servers.get(server).is_ready() {
