--- a/crates/ochrelead-node/src/call_table.rs
+++ b/crates/ochrelead-node/src/call_table.rs
@@ -1,4 +1,5 @@
-//! The calls of a node, indexed by session, id, INVITE deadline and server. State only: the engine acts on it.
+//! The table of a node's calls, indexed by session, call id, INVITE deadline and server. It holds state only; the
+//! engine sends the messages.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -9,29 +10,29 @@
 
 use crate::io::{CallerId, ServerConnectionId};
 
-/// An INVITE that was sent, or waits for a connection.
+/// An INVITE that was sent or waits for a connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Invite {
     pub(crate) server: ServerIx,
     /// The connection it was sent on; `None` while it waits for one.
     pub(crate) connection: Option<ServerConnectionId>,
-    /// When the controller decided on it.
+    /// When the controller decided to send it.
     pub(crate) requested_at: Moment,
     /// When it times out.
     pub(crate) expires_at: Moment,
 }
 
-/// How far the set-up of a call has got.
+/// The progress of a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Phase {
-    /// The controller has yet to decide; no INVITE is in flight.
+    /// The controller has not decided yet; no INVITE is in flight.
     Waiting,
     /// An INVITE is in flight, or waits for a connection.
     Inviting(Invite),
     /// The server accepted the call.
     Established {
         server: ServerIx,
-        /// The connection of the set-up; `None` where another front set the call up.
+        /// The connection of the set-up; `None` if another front or a former incarnation set the call up.
         connection: Option<ServerConnectionId>,
         since: Moment,
     },
@@ -44,11 +45,12 @@
     pub(crate) caller: CallerId,
     /// The index of its service class.
     pub(crate) class: usize,
-    /// What a further INVITE needs; empty once the call is established.
+    /// Empty once the call is established, as is the description: only INVITEs need them.
     pub(crate) called_number: String,
+    /// The session description.
     pub(crate) description: String,
     pub(crate) deadline: Moment,
-    /// How many INVITEs were made; the last one's sequence number.
+    /// The number of INVITEs so far, which is the sequence number of the last one.
     pub(crate) invite_count: u32,
     pub(crate) phase: Phase,
 }
@@ -91,23 +93,23 @@
         self.calls.len()
     }
 
-    /// The number of calls whose callers wait for an answer.
+    /// The number of calls whose callers have not been answered yet.
     pub(crate) fn unanswered(&self) -> usize {
         self.unanswered
     }
 
-    /// The calls whose callers wait for an answer.
+    /// The calls whose callers have not been answered yet.
     pub(crate) fn unanswered_sessions(&self) -> impl Iterator<Item = SessionIx> + '_ {
         let is_unanswered = |call: &Call| !matches!(call.phase, Phase::Established { .. });
         self.calls.iter().filter(move |(_, call)| is_unanswered(call)).map(|(index, _)| SessionIx::new(index))
     }
 
-    /// The total length of the session descriptions.
+    /// The total length of the session descriptions in bytes.
     pub(crate) fn description_bytes(&self) -> usize {
         self.description_bytes
     }
 
-    /// Moves a call to a phase and frees what that phase does not need.
+    /// Sets the phase of a call and updates the indexes. Frees the call's texts once it is established.
     pub(crate) fn set_phase(&mut self, session: SessionIx, phase: Phase) {
         let Some(call) = self.calls.get_mut(session.index()) else { return };
         let former = std::mem::replace(&mut call.phase, phase);
@@ -156,13 +158,13 @@
         Some(call)
     }
 
-    /// The next call whose INVITE has timed out.
+    /// The call whose INVITE has the earliest deadline, if that has passed.
     pub(crate) fn next_expired(&self, now: Moment) -> Option<SessionIx> {
         let (expires_at, session) = self.invite_deadlines.first()?;
         (*expires_at <= now).then_some(*session)
     }
 
-    /// When the next INVITE times out.
+    /// The earliest deadline of an INVITE.
     pub(crate) fn poll_timeout(&self) -> Option<Moment> {
         self.invite_deadlines.first().map(|(expires_at, _)| *expires_at)
     }
--- a/crates/ochrelead-node/src/caller_table.rs
+++ b/crates/ochrelead-node/src/caller_table.rs
@@ -1,4 +1,4 @@
-//! The connections of callers. State only: the engine acts on it.
+//! The table of callers' connections. It holds state only; the engine sends the messages and closes connections.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,7 +10,7 @@
 use crate::bounds::protocol;
 use crate::io::CallerId;
 
-/// The end of an established call, as its caller is notified of it.
+/// The notification to a caller that an established call has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Release {
     pub(crate) call: CallId,
@@ -18,20 +18,20 @@
     pub(crate) cause: u32,
 }
 
-/// One connection.
+/// The connection of a caller.
 #[derive(Debug)]
 pub(crate) struct Caller {
     pub(crate) line_splitter: LineSplitter,
     pub(crate) opened_at: Moment,
-    /// When bytes last arrived on it, or an answer was last sent.
+    /// When bytes last arrived on the connection or the answer to a set-up was last sent on it.
     pub(crate) last_used: Moment,
-    /// A call was established on it: it belongs to a regular caller.
+    /// Whether a call has been established on the connection, which shows that the caller follows the protocol.
     pub(crate) is_verified: bool,
-    /// Its set-ups that wait for an answer.
+    /// Set-ups on the connection that have not been answered yet.
     pub(crate) pending_sessions: Vec<SessionIx>,
-    /// The number of established calls that were set up on it.
+    /// The number of established calls that belong to the connection.
     pub(crate) established_calls: usize,
-    /// Releases that were sent on it and not confirmed yet.
+    /// Releases that were sent on the connection and are not confirmed yet.
     pub(crate) unconfirmed_releases: VecDeque<Release>,
 }
 
@@ -69,13 +69,14 @@
         self.0.len()
     }
 
-    /// Whether the rest of a line is to be expected from any of them.
-    pub(crate) fn any_mid_line(&self, now: Moment) -> bool {
-        self.0.values().any(|caller| caller.is_mid_line(now))
+    /// Whether any connection has received part of a line and the rest may still arrive.
+    pub(crate) fn any_awaits_rest_of_line(&self, now: Moment) -> bool {
+        self.0.values().any(|caller| caller.awaits_rest_of_line(now))
     }
 
-    /// The connection for a release whose own connection has closed: that of the verified caller used last. With
-    /// `allow_unverified`, where no later one can come, any connection is better than none.
+    /// The connection for a release after the connection of its call has closed: the most recently used one of a
+    /// verified caller. With `allow_unverified`, falls back to the most recently used unverified one; this is for the
+    /// shutdown, when no other caller may connect.
     pub(crate) fn release_recipient(&self, allow_unverified: bool) -> Option<CallerId> {
         self.0
             .iter()
@@ -84,8 +85,8 @@
             .map(|(id, _)| *id)
     }
 
-    /// Up to `count` connections to close in favour of new ones: of those without a pending set-up the unverified
-    /// first, then those on which no call stands, then the least recently used.
+    /// Up to `count` connections to close in favour of new ones. Only connections without a pending set-up are
+    /// candidates: unverified ones first, then those without an established call, then the least recently used.
     pub(crate) fn eviction_candidates(&self, count: usize, excluded: &[CallerId]) -> Vec<CallerId> {
         if count == 0 {
             return Vec::new();
@@ -100,35 +101,35 @@
         idle.into_iter().take(count).map(|(.., id)| id).collect()
     }
 
-    /// Connections to close now: those that sent nothing valid for most of the time in which a refusal is owed, and
-    /// those without a call that are idle for longer than regular callers leave them open.
+    /// Connections without a call that must be closed now: unverified ones whose `INVALID_CALLER_DEADLINE` is near, and
+    /// those idle for longer than callers keep an idle connection open.
     pub(crate) fn expired(&self, now: Moment) -> Vec<CallerId> {
         self.0.iter().filter(|(_, caller)| caller.is_expired(now)).map(|(id, _)| *id).collect()
     }
 }
 
 impl Caller {
-    /// Whether a line has begun to arrive and its rest is to be expected.
-    pub(crate) fn is_mid_line(&self, now: Moment) -> bool {
+    /// Whether part of a line has been received and the rest may still arrive.
+    pub(crate) fn awaits_rest_of_line(&self, now: Moment) -> bool {
         self.line_splitter.has_partial_line() && now.since(self.last_used) < protocol::PARTIAL_LINE_TIMEOUT
     }
 
-    /// Whether it is owed a refusal, an error or a close by now, having sent nothing valid.
-    pub(crate) fn is_overdue(&self, now: Moment) -> bool {
+    /// Whether the connection is still unverified after 80 % of `INVALID_CALLER_DEADLINE`.
+    pub(crate) fn is_verification_overdue(&self, now: Moment) -> bool {
         !self.is_verified && now.since(self.opened_at) >= protocol::INVALID_CALLER_DEADLINE.scaled(0.8)
     }
 
     fn is_expired(&self, now: Moment) -> bool {
-        // Callers leave a connection open while a call stands on it, and its release needs one that is open.
+        // Callers keep a connection open while a call is established on it, and the release is sent on it.
         if !self.pending_sessions.is_empty() || self.established_calls > 0 {
             return false;
         }
         let idle_timeout = protocol::CALLER_IDLE_TIMEOUT;
         let idle = now.since(self.last_used);
-        // One that was just sent a release has yet to confirm it.
-        let is_confirmed = self.unconfirmed_releases.is_empty();
-        self.is_overdue(now)
-            || (idle >= idle_timeout.scaled(1.25) && is_confirmed)
+        // A caller gets more time to confirm the releases that it was sent.
+        let all_releases_confirmed = self.unconfirmed_releases.is_empty();
+        self.is_verification_overdue(now)
+            || (idle >= idle_timeout.scaled(1.25) && all_releases_confirmed)
             || idle >= idle_timeout * 4
     }
 }
--- a/crates/ochrelead-node/src/engine/caller_side.rs
+++ b/crates/ochrelead-node/src/engine/caller_side.rs
@@ -52,7 +52,8 @@
             self.callers_to_close.retain(|caller| *caller != id);
             let now = self.now;
             let is_unused = |caller: &Caller| {
-                caller.pending_sessions.is_empty() && (!caller.is_mid_line(now) || caller.is_overdue(now))
+                caller.pending_sessions.is_empty()
+                    && (!caller.awaits_rest_of_line(now) || caller.is_verification_overdue(now))
             };
             if self.callers.get(id).is_some_and(is_unused) {
                 self.close_caller(id, "not in use");
--- a/crates/ochrelead-node/src/engine/shutdown.rs
+++ b/crates/ochrelead-node/src/engine/shutdown.rs
@@ -83,8 +83,8 @@
         let Some(elapsed) = self.time_since_shutdown() else { return false };
         let owes_release = !self.pending_releases.is_empty() && elapsed < protocol::INVALID_CALLER_DEADLINE;
         // A set-up that has arrived in part is accepted if it can be answered before the deadline.
-        let is_mid_line = self.callers.any_mid_line(self.now) && !self.refuses_set_ups();
-        let owes_answer = self.calls.unanswered() > 0 || is_mid_line;
+        let awaits_rest_of_line = self.callers.any_awaits_rest_of_line(self.now) && !self.refuses_set_ups();
+        let owes_answer = self.calls.unanswered() > 0 || awaits_rest_of_line;
         elapsed >= protocol::SHUTDOWN_GRACE && !owes_answer && !owes_release
     }
 
--- a/crates/ochrelead-node/src/io.rs
+++ b/crates/ochrelead-node/src/io.rs
@@ -1,18 +1,18 @@
-//! The messages between the engine and its host, and the identifiers in them.
+//! The inputs and outputs of the engine, and the identifiers of connections in them.
 
 use std::net::SocketAddr;
 
 use ochrelead_platform::events::{EndpointChange, EventCursor};
 
-/// A caller's connection. The host counts connections; an id is never used again.
+/// Identifies a caller's connection. The host assigns the ids by counting; an id is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u64);
 
-/// A connection to a signalling server. The engine counts connections; an id is never used again.
+/// Identifies a connection to a signalling server. The engine assigns the ids by counting; an id is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerConnectionId(pub u64);
 
-/// A connection to the coordinator. The engine counts connections; an id is never used again.
+/// Identifies a connection to the coordinator. The engine assigns the ids by counting; an id is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WatchId(pub u64);
 
@@ -27,7 +27,7 @@
     CallerHalfClosed(CallerId),
     /// The caller's connection is closed.
     CallerDisconnected(CallerId),
-    /// All bytes that had arrived from the caller were reported ([`Output::DrainInput`]).
+    /// All bytes received from the caller before [`Output::DrainInput`] have been reported.
     InputDrained(CallerId),
     /// A connection to a server is established.
     ServerConnected(ServerConnectionId),
@@ -35,9 +35,9 @@
     ServerData(ServerConnectionId, &'a [u8]),
     /// A connection to a server is closed, or could not be established.
     ServerDisconnected {
-        /// Which connection.
+        /// The connection.
         connection: ServerConnectionId,
-        /// Whether the attempt was refused: no process listens at the address.
+        /// Whether the connection attempt was refused because no process listens at the address.
         refused: bool,
     },
     /// The connection to the coordinator is established.
@@ -46,16 +46,16 @@
     WatchData(WatchId, &'a [u8]),
     /// The connection to the coordinator is closed, or could not be established.
     WatchDisconnected(WatchId),
-    /// The configuration was replaced; it holds the list of servers as of an event.
+    /// The configuration was reloaded, with the list of servers as of `event_cursor`.
     ListReloaded {
-        /// The last event in it.
+        /// The last event that the list includes.
         event_cursor: EventCursor,
-        /// The whole list.
+        /// The complete list.
         list: &'a EndpointChange,
     },
     /// The coordinator has a new address.
     CoordinatorMoved(SocketAddr),
-    /// Leave service: owed answers are still given.
+    /// Shut down; pending and newly arriving set-ups are answered first.
     Shutdown,
 }
 
@@ -64,18 +64,18 @@
 pub enum Output {
     /// Write bytes to a caller.
     SendToCaller(CallerId, Vec<u8>),
-    /// Report everything that has arrived from the caller by now, then [`Input::InputDrained`].
+    /// Report all bytes received from the caller so far, then [`Input::InputDrained`].
     DrainInput(CallerId),
-    /// Close a caller's connection once everything written to it has left.
+    /// Close a caller's connection once all queued bytes are written.
     CloseCaller(CallerId),
     /// Connect to a server.
     ConnectServer(ServerConnectionId, SocketAddr),
     /// Write bytes to a server.
     SendToServer(ServerConnectionId, Vec<u8>),
-    /// Close a connection to a server once everything written to it has left.
+    /// Close a connection to a server once all queued bytes are written.
     CloseServerConnection(ServerConnectionId),
-    /// Shut a connection to a server down for writing once everything written to it has left, and read it until the
-    /// server closes it too.
+    /// Shut a connection to a server down for writing once all queued bytes are written, and read it until the server
+    /// closes it too.
     HalfCloseServerConnection(ServerConnectionId),
     /// An action on the connection to the coordinator.
     Watch(WatchAction),
@@ -93,14 +93,14 @@
     },
     /// Send a request line.
     Send {
-        /// Which connection.
+        /// The connection.
         watch: WatchId,
-        /// The line with its end.
+        /// The line, including its line ending.
         line: String,
     },
     /// Close the connection.
     Close {
-        /// Which connection.
+        /// The connection.
         watch: WatchId,
     },
 }
--- a/crates/ochrelead-node/src/observation.rs
+++ b/crates/ochrelead-node/src/observation.rs
@@ -1,75 +1,76 @@
-//! What the engine and the coordination with other fronts tell each other.
+//! The data exchanged between the engine and the coordination with other fronts.
 
 use ochrelead_core::time::Moment;
 use ochrelead_lease::FencingToken;
 use ochrelead_zone::{ServerKey, ServerLocation, ZoneId};
 
-/// The outcome of an INVITE, or a sign of life of a server. An INVITE is identified by its session.
+/// An event of an INVITE, or a message or connection that shows a server to be alive. An INVITE is identified by the
+/// index of its session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// An INVITE was begun.
+    /// The controller has decided to send an INVITE.
     InviteSent {
-        /// At which server.
+        /// The server that it is sent to.
         server: ServerKey,
-        /// Its session.
+        /// The index of its session.
         invite: u64,
     },
-    /// A server answered an INVITE, by accepting or refusing it.
+    /// A server accepted or refused an INVITE.
     InviteAnswered {
-        /// Its session.
+        /// The index of its session.
         invite: u64,
     },
     /// An INVITE failed without an answer.
     InviteFailed {
-        /// Its session.
+        /// The index of its session.
         invite: u64,
     },
     /// An INVITE was cancelled, timed out, or refused.
     InviteCancelled {
-        /// Its session.
+        /// The index of its session.
         invite: u64,
     },
     /// A message arrived from a server, or a connection to it was established.
     ServerAlive {
-        /// Which server.
+        /// The server.
         server: ServerKey,
     },
 }
 
-/// A server refused a health check, for it has seen a higher fencing token.
+/// The refusal of a health check by a server that has seen a higher fencing token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SupersededToken {
     /// The server's id.
     pub server: String,
-    /// The highest token that it has seen.
+    /// The highest token that the server has seen.
     pub highest: FencingToken,
 }
 
-/// The share of sessions that the servers of a zone take.
+/// The share of its usual traffic that a zone takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrafficShare {
-    /// Which zone.
+    /// The zone.
     pub zone: ZoneId,
-    /// The share: 0 for none, 1 for all.
+    /// From 0 for no sessions to 1 for all.
     pub share: f64,
 }
 
-/// When a server was last heard by this front.
+/// When this front last received a message from a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerActivity {
     /// The server's id.
     pub server: String,
-    /// When its last message arrived that was not the response to a health check.
+    /// When the last message other than a response to a health check arrived.
     pub last_unprompted: Moment,
-    /// When its last message arrived, or the last connection to it was established.
+    /// When the last message of any kind arrived or the last connection was established.
     pub last_heard: Moment,
 }
 
-/// The servers in service, as this front sees them.
+/// The state of the servers in service as observed by this front.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerReport {
-    /// When each was last heard.
+    /// When each server was last heard.
     pub activity: Vec<ServerActivity>,
-    /// The zones of those whose zones are known.
+    /// The zone of each server whose zone is known.
     pub locations: Vec<ServerLocation>,
 }
--- a/crates/ochrelead-node/src/outcomes.rs
+++ b/crates/ochrelead-node/src/outcomes.rs
@@ -1,14 +1,14 @@
-//! The outcome of an INVITE or a call, by a signalling server's final response or release.
+//! The mapping from a signalling server's refusal or release to the outcome of an INVITE or call.
 
 use ochrelead_core::types::InviteOutcome;
 use ochrelead_sip::message::Message;
 
-/// The header with the reason of a refusal.
+/// The header that gives the reason for a refusal.
 const DIAGNOSIS: &str = "X-Diagnosis";
-/// The Q.850 cause of a normal release.
+/// The Q.850 cause "normal call clearing".
 const NORMAL_CLEARING: u32 = 16;
 
-/// The outcome of an INVITE that was refused with a status code of 300 or more.
+/// The outcome of an INVITE that a server refused with a status code of 300 or above.
 pub(crate) fn of_refusal(code: u16, message: &Message) -> InviteOutcome {
     let diagnosis = message.header(DIAGNOSIS);
     match code {
@@ -20,7 +20,7 @@
     }
 }
 
-/// The outcome of an established call that its server released.
+/// The outcome of an established call that its server released with the given Q.850 cause.
 pub(crate) fn of_release(cause: Option<u32>) -> InviteOutcome {
     if cause == Some(NORMAL_CLEARING) { InviteOutcome::Released } else { InviteOutcome::Reset }
 }
