--- a/crates/ochrelead-node/tests/call_ends.rs
+++ b/crates/ochrelead-node/tests/call_ends.rs
@@ -1,4 +1,5 @@
-//! Whatever ends an established call, and whatever becomes of its caller's connection: the caller is notified in time.
+//! Checks for each way in which an established call ends, combined with each state of its caller's connection, that the
+//! caller is notified within the time allowed.
 
 mod helper;
 
@@ -7,35 +8,35 @@
 use serde_json::{Value, json};
 use test_case::test_matrix;
 
-/// How call 7 ends.
+/// The way in which call 7 ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallEnd {
     Released,
-    ReleasedElsewhere,
-    ReleasedOnHalfClosed,
-    ReleasedAgainOnNext,
-    ServerDies,
-    ServerVanishes,
-    ServerVanishesWhileBusy,
+    ReleasedOnOtherConnection,
+    ReleasedOnHalfClosedConnection,
+    ReleaseRepeatedOnNextConnection,
+    ServerFails,
+    ServerUnreachable,
+    ServerUnreachableUnderLoad,
     ServerRemoved,
     ServerRestarts,
     ServerDisplaced,
 }
 
-/// What becomes of the connection of its caller.
+/// What happens to the connection of the caller of call 7.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CallerFate {
+enum CallerCase {
     Open,
     ClosedBefore,
     ClosedUnconfirmed,
-    ResetUnconfirmedTwice,
-    AllClosedNewOneAsks,
-    AllClosedNewOneAsksLater,
-    Overdue,
-    SlowToVerify,
+    ClosedUnconfirmedTwice,
+    AllClosedThenSetUp,
+    AllClosedThenLateSetUp,
+    IdleTooLong,
+    VerifiedLate,
 }
 
-/// Ends call 7; the time in ms within which its caller is to be notified.
+/// Ends call 7 and returns the time in ms within which its caller must be notified.
 fn end_call(calls: &mut EstablishedCalls, end: CallEnd) -> u64 {
     let EstablishedCalls { node, connection, half_closed } = calls;
     let connection = *connection;
@@ -45,31 +46,31 @@
             let is_open = connections.contains(&connection);
             node.server_releases(if is_open { connection } else { connections[0] }, 7, 16);
         }
-        CallEnd::ReleasedElsewhere => {
+        CallEnd::ReleasedOnOtherConnection => {
             let other = *connections.iter().find(|other| **other != connection).unwrap();
             node.server_releases(other, 7, 16);
         }
-        CallEnd::ReleasedOnHalfClosed => node.server_releases(*half_closed, 7, 16),
-        CallEnd::ReleasedAgainOnNext => {
+        CallEnd::ReleasedOnHalfClosedConnection => node.server_releases(*half_closed, 7, 16),
+        CallEnd::ReleaseRepeatedOnNextConnection => {
             node.disconnect_server(connection, false);
             node.advance(200);
             let next = *node.connections_to_server_1().iter().max().unwrap();
             node.server_releases(next, 7, 16);
             node.server_releases(next, 7, 16);
         }
-        CallEnd::ServerDies => kill_server(node, &connections),
-        CallEnd::ServerVanishes => {
+        CallEnd::ServerFails => kill_server(node, &connections),
+        CallEnd::ServerUnreachable => {
             node.connects_succeed = false;
             return 8_000;
         }
-        CallEnd::ServerVanishesWhileBusy => {
+        CallEnd::ServerUnreachableUnderLoad => {
             node.connects_succeed = false;
             (40..70).for_each(|call| node.set_up(2, call, 1));
             return 8_000;
         }
         CallEnd::ServerRemoved => {
             remove_server(node, &connections);
-            // It may be there still: a release from it is awaited for a while.
+            // A removed server may still run: the node waits for a release from it until it is presumed dead.
             return 8_000;
         }
         CallEnd::ServerRestarts => node.coordinator_updates(2, &json!([endpoint(1, 11, "up", node.now_ms)])),
@@ -94,22 +95,24 @@
     node.coordinator_sends(&format!("{}\n", event(3, false, &json!([endpoint(1, 11, "removed", 0)]))));
 }
 
-/// What becomes of the callers' connections before the call ends.
-fn prepare_callers(node: &mut TestNode, end: CallEnd, fate: CallerFate) {
-    match fate {
-        CallerFate::ClosedBefore => node.disconnect_caller(1),
-        CallerFate::AllClosedNewOneAsks | CallerFate::AllClosedNewOneAsksLater => {
+/// Brings the callers' connections into the state to be tested, before the call ends.
+fn prepare_callers(node: &mut TestNode, end: CallEnd, case: CallerCase) {
+    match case {
+        CallerCase::ClosedBefore => node.disconnect_caller(1),
+        CallerCase::AllClosedThenSetUp | CallerCase::AllClosedThenLateSetUp => {
             (1..=2).for_each(|caller| node.disconnect_caller(caller));
         }
-        CallerFate::SlowToVerify => {
-            // Both callers' connections have closed; the next one's set-up is pending.
+        CallerCase::VerifiedLate => {
+            // The connections of both callers have closed, and the set-up of a new caller is pending.
             (1..=2).for_each(|caller| node.disconnect_caller(caller));
             node.connect_caller(3);
             node.set_up(3, 9, 0);
         }
-        // It sends nothing for longer than callers leave an idle connection open.
-        CallerFate::Overdue => node.advance(if end == CallEnd::ReleasedOnHalfClosed { 1_500 } else { 5_100 }),
-        CallerFate::Open | CallerFate::ClosedUnconfirmed | CallerFate::ResetUnconfirmedTwice => {}
+        // The caller sends nothing for longer than callers keep an idle connection open.
+        CallerCase::IdleTooLong => {
+            node.advance(if end == CallEnd::ReleasedOnHalfClosedConnection { 1_500 } else { 5_100 });
+        }
+        CallerCase::Open | CallerCase::ClosedUnconfirmed | CallerCase::ClosedUnconfirmedTwice => {}
     }
 }
 
@@ -117,9 +120,9 @@
 struct EndedCall {
     node: TestNode,
     ended_at_ms: u64,
-    /// The time within which the caller is to be notified.
+    /// The time in ms within which the caller must be notified.
     within_ms: u64,
-    /// Where the INVITE of a pending set-up was sent.
+    /// The connection on which the INVITE of a pending set-up was sent.
     pending: Option<ServerConnectionId>,
 }
 
@@ -139,44 +142,47 @@
         self.node.advance(self.remaining_ms());
     }
 
-    /// A new caller connects and asks.
-    fn caller_3_asks(&mut self) {
+    /// A new caller connects and sends a set-up.
+    fn caller_3_sends_set_up(&mut self) {
         self.node.connect_caller(3);
         self.node.set_up(3, 9, 0);
     }
 
-    fn check(&mut self, fate: CallerFate) {
-        match fate {
-            CallerFate::Open | CallerFate::Overdue => {
+    fn check(&mut self, case: CallerCase) {
+        match case {
+            CallerCase::Open | CallerCase::IdleTooLong => {
                 self.advance_to_deadline();
                 assert_eq!(self.notified(), [1]);
-                assert!(!self.node.has_closed(1), "not closed before it could confirm");
+                assert!(
+                    !self.node.has_closed(1),
+                    "the connection is not closed before the caller can confirm the release"
+                );
             }
-            CallerFate::ClosedBefore => {
+            CallerCase::ClosedBefore => {
                 self.advance_to_deadline();
                 assert_eq!(self.notified(), [2]);
             }
-            CallerFate::ClosedUnconfirmed => self.check_closed_unconfirmed(),
-            CallerFate::ResetUnconfirmedTwice => {
+            CallerCase::ClosedUnconfirmed => self.check_closed_unconfirmed(),
+            CallerCase::ClosedUnconfirmedTwice => {
                 self.check_closed_unconfirmed();
                 self.node.connect_caller(3);
                 self.node.disconnect_caller(2);
                 self.node.set_up(3, 9, 0);
-                assert_eq!(self.notified(), [1, 2, 3], "and on the next one's");
+                assert_eq!(self.notified(), [1, 2, 3], "the release is sent to the next caller as well");
             }
-            CallerFate::AllClosedNewOneAsks => {
+            CallerCase::AllClosedThenSetUp => {
                 self.node.advance(self.remaining_ms().saturating_sub(1));
-                self.caller_3_asks();
+                self.caller_3_sends_set_up();
                 assert_eq!(self.notified(), [3]);
             }
-            CallerFate::AllClosedNewOneAsksLater => {
+            CallerCase::AllClosedThenLateSetUp => {
                 self.node.advance(self.within_ms + 3_000);
-                assert!(self.notified().is_empty(), "there is nobody");
-                self.caller_3_asks();
+                assert!(self.notified().is_empty(), "no caller is connected");
+                self.caller_3_sends_set_up();
                 assert_eq!(self.notified(), [3]);
             }
-            CallerFate::SlowToVerify => {
-                // Its set-up is answered before its own deadline.
+            CallerCase::VerifiedLate => {
+                // The pending set-up is answered before its deadline.
                 self.node.advance(self.remaining_ms().min(900));
                 self.node.respond(self.pending.unwrap(), &Response::accepted(9, 1));
                 self.advance_to_deadline();
@@ -191,27 +197,27 @@
         }
         assert_eq!(self.notified(), [1]);
         self.node.disconnect_caller(1);
-        assert_eq!(self.notified(), [1, 2], "once more on another's");
+        assert_eq!(self.notified(), [1, 2], "the release is sent again on the connection of another caller");
     }
 }
 
 #[test_matrix(
-    [CallEnd::Released, CallEnd::ReleasedElsewhere, CallEnd::ReleasedOnHalfClosed, CallEnd::ReleasedAgainOnNext,
-     CallEnd::ServerDies, CallEnd::ServerVanishes, CallEnd::ServerVanishesWhileBusy, CallEnd::ServerRemoved,
-     CallEnd::ServerRestarts, CallEnd::ServerDisplaced],
-    [CallerFate::Open, CallerFate::ClosedBefore, CallerFate::ClosedUnconfirmed, CallerFate::ResetUnconfirmedTwice,
-     CallerFate::AllClosedNewOneAsks, CallerFate::AllClosedNewOneAsksLater, CallerFate::Overdue,
-     CallerFate::SlowToVerify]
+    [CallEnd::Released, CallEnd::ReleasedOnOtherConnection, CallEnd::ReleasedOnHalfClosedConnection,
+     CallEnd::ReleaseRepeatedOnNextConnection, CallEnd::ServerFails, CallEnd::ServerUnreachable,
+     CallEnd::ServerUnreachableUnderLoad, CallEnd::ServerRemoved, CallEnd::ServerRestarts, CallEnd::ServerDisplaced],
+    [CallerCase::Open, CallerCase::ClosedBefore, CallerCase::ClosedUnconfirmed, CallerCase::ClosedUnconfirmedTwice,
+     CallerCase::AllClosedThenSetUp, CallerCase::AllClosedThenLateSetUp, CallerCase::IdleTooLong,
+     CallerCase::VerifiedLate]
 )]
-fn ended_call_is_released_towards_its_caller(end: CallEnd, fate: CallerFate) {
+fn caller_is_notified_of_the_end_of_its_call(end: CallEnd, case: CallerCase) {
     let mut calls = EstablishedCalls::new();
-    prepare_callers(&mut calls.node, end, fate);
+    prepare_callers(&mut calls.node, end, case);
     let pending = calls.node.sent_to_servers("INVITE").pop().map(|(connection, _)| connection);
     calls.node.outputs.clear();
     let ended_at_ms = calls.node.now_ms;
     let within_ms = end_call(&mut calls, end);
     let mut ended = EndedCall { node: calls.node, ended_at_ms, within_ms, pending };
-    ended.check(fate);
+    ended.check(case);
     let load = ended.node.engine.load();
     assert!(load.calls <= 2, "call 7 is removed: {load:?}");
 }
--- a/crates/ochrelead-node/tests/call_setup.rs
+++ b/crates/ochrelead-node/tests/call_setup.rs
@@ -1,4 +1,4 @@
-//! Set-ups from a caller's line to its answer.
+//! Set-ups, from the line that a caller sends to the answer that it receives.
 
 mod helper;
 
@@ -8,7 +8,7 @@
 use test_case::test_case;
 
 #[test]
-fn call_is_set_up_and_released_unchanged() {
+fn set_up_answer_and_release_are_forwarded() {
     let mut node = TestNode::with_servers(2);
     node.connect_caller(1);
     node.set_up(1, 7, 1);
@@ -36,9 +36,9 @@
     assert_eq!(node.engine.load().calls, 0, "no call is left");
 }
 
-#[test_case(500, "", 42; "a fault is final")]
-#[test_case(486, "X-Diagnosis: user_busy\r\n", 42; "all lines of the number are busy")]
-#[test_case(480, "", 42; "it was never sent")]
+#[test_case(500, "", 42; "server error is final")]
+#[test_case(486, "X-Diagnosis: user_busy\r\n", 42; "lines of the called number busy")]
+#[test_case(480, "", 42; "temporarily unavailable, counted as not sent")]
 fn final_refusal_is_answered_at_once(code: u16, head: &str, cause: u64) {
     let mut node = TestNode::with_servers(1);
     node.connect_caller(1);
@@ -46,12 +46,12 @@
     let (connection, _) = node.sent_to_servers("INVITE").pop().unwrap();
     node.respond(connection, &Response::refused(7, 1, code, head));
     assert_eq!(node.answers(), [(1, "down".to_owned(), Some(cause))]);
-    assert_eq!(node.sent_to_callers()[0].1["f"]["wait"], "100", "a retry time is named");
+    assert_eq!(node.sent_to_callers()[0].1["f"]["wait"], "100", "the answer contains a retry time");
     assert_eq!(node.sent_to_servers("ACK").len(), 1);
 }
 
-#[test_case(503, 0; "full: at once")]
-#[test_case(504, RELEASE_GUARD_MS; "reset: after the release")]
+#[test_case(503, 0; "server full, retried at once")]
+#[test_case(504, RELEASE_GUARD_MS; "reset, retried after the guard time")]
 fn refused_call_is_retried_at_another_server(code: u16, wait: u64) {
     let mut node = TestNode::with_servers(2);
     node.connect_caller(1);
@@ -75,14 +75,14 @@
 }
 
 #[test]
-fn answer_after_cancel_is_released() {
+fn call_accepted_after_cancel_is_released() {
     let mut node = TestNode::with_servers(1);
     node.connect_caller(1);
     node.set_up(1, 7, 0);
     let (connection, _) = node.sent_to_servers("INVITE").pop().unwrap();
     node.send_line(1, &json!({"t": "down", "ref": call_id(7), "c": 16, "f": {}}));
     assert_eq!(node.sent_to_servers("CANCEL").len(), 1);
-    assert_eq!(node.answers(), [], "a cancelled call is owed no answer");
+    assert_eq!(node.answers(), [], "a cancelled call gets no answer");
     node.respond(connection, &Response::accepted(7, 1));
     assert_eq!((node.sent_to_servers("BYE").len(), node.answers().len()), (1, 0));
 }
@@ -99,15 +99,18 @@
     assert_eq!(node.sent_to_servers("CANCEL").len(), 1);
 }
 
-#[test_case("close"; "closes")]
-#[test_case("end"; "shuts down for writing")]
-#[test_case("cancel"; "cancels")]
-fn no_invite_is_sent_for_a_caller_found_to_have_left(how: &str) {
+#[test_case("close"; "connection closed")]
+#[test_case("end"; "connection shut down for writing")]
+#[test_case("cancel"; "set-up cancelled")]
+fn no_invite_is_sent_if_drained_input_ends_the_set_up(how: &str) {
     let mut node = TestNode::with_servers(1);
     node.drains_input = false;
     node.connect_caller(1);
     node.set_up(1, 7, 0);
-    assert!(node.outputs.contains(&Output::DrainInput(CallerId(1))), "its input is drained first");
+    assert!(
+        node.outputs.contains(&Output::DrainInput(CallerId(1))),
+        "the caller's input is drained before the INVITE is sent"
+    );
     assert_eq!(node.sent_to_servers("INVITE").len(), 0);
     match how {
         "close" => node.input(Input::CallerDisconnected(CallerId(1))),
@@ -121,7 +124,7 @@
 }
 
 #[test]
-fn server_that_starts_draining_gets_no_checked_invite() {
+fn held_back_invite_is_not_sent_to_a_draining_server() {
     let mut node = TestNode::with_servers(2);
     node.drains_input = false;
     node.connect_caller(1);
@@ -139,7 +142,7 @@
 }
 
 #[test]
-fn waiting_invite_is_not_sent_for_a_caller_that_left() {
+fn waiting_invite_is_not_sent_after_its_caller_disconnects() {
     let mut node = TestNode::with_servers(1);
     for connection in node.connections.keys().copied().collect::<Vec<_>>() {
         node.disconnect_server(connection, false);
--- a/crates/ochrelead-node/tests/releases.rs
+++ b/crates/ochrelead-node/tests/releases.rs
@@ -1,4 +1,4 @@
-//! Releases of established calls towards their callers, whatever ended the call and whatever became of the connection.
+//! Releases of established calls: on which caller's connection and how often they are sent.
 
 mod helper;
 
@@ -13,7 +13,7 @@
     let mut node = TestNode::with_servers(1);
     (1..=2).for_each(|caller| node.connect_caller(caller));
     node.send_line(1, &json!({"t": "new", "ref": call_id(7), "f": {"extras": "at:s-0"}}));
-    assert_eq!(node.answers(), [], "nobody waits for an answer");
+    assert_eq!(node.answers(), [], "a report of an established call gets no answer");
     if by_server {
         let connection = *node.connections.keys().next().unwrap();
         node.server_releases(connection, 7, 16);
@@ -25,9 +25,9 @@
     assert_eq!(node.engine.load().calls, 0);
 }
 
-#[test_case(true, &[2]; "closed before: on another verified caller's")]
-#[test_case(false, &[1, 2]; "closed before it was confirmed: once more there")]
-fn release_reaches_the_caller_although_its_connection_closes(before: bool, told: &[u64]) {
+#[test_case(true, &[2]; "closed before the release, sent on another connection")]
+#[test_case(false, &[1, 2]; "closed before the confirmation, sent again on another connection")]
+fn release_is_sent_on_another_connection_if_its_own_closes(before: bool, notified: &[u64]) {
     let mut node = TestNode::with_servers(1);
     (1..=3).for_each(|caller| node.connect_caller(caller));
     let connection = node.establish(1, 7, 0);
@@ -39,11 +39,11 @@
         node.server_releases(connection, 7, 16);
         node.disconnect_caller(1);
     }
-    assert_eq!(node.answers().iter().map(|(caller, ..)| *caller).collect::<Vec<_>>(), told);
+    assert_eq!(node.answers().iter().map(|(caller, ..)| *caller).collect::<Vec<_>>(), notified);
 }
 
 #[test]
-fn release_waits_for_a_verified_caller() {
+fn release_stays_pending_until_a_caller_is_verified() {
     let mut node = TestNode::with_servers(1);
     node.connect_caller(1);
     let connection = node.establish(1, 7, 0);
@@ -51,15 +51,23 @@
     node.server_releases(connection, 7, 16);
     node.connect_caller(2);
     node.set_up(2, 8, 0);
-    assert_eq!(node.answers(), [(2, "down".to_owned(), Some(16))], "the caller may be a regular one");
+    assert_eq!(
+        node.answers(),
+        [(2, "down".to_owned(), Some(16))],
+        "the release is offered to an unverified caller"
+    );
     let (connection, _) = node.sent_to_servers("INVITE").pop().unwrap();
     node.respond(connection, &Response::accepted(8, 1));
-    let told = [(2, "up".to_owned(), None), (2, "down".to_owned(), Some(16))];
-    assert_eq!(node.answers()[1..], told, "the caller is verified and has not confirmed it");
+    let expected = [(2, "up".to_owned(), None), (2, "down".to_owned(), Some(16))];
+    assert_eq!(
+        node.answers()[1..],
+        expected,
+        "the release is sent again once the caller is verified, as it is unconfirmed"
+    );
 }
 
 #[test]
-fn release_before_the_call_was_named_is_sent_at_once() {
+fn call_released_before_it_is_reported_is_answered_at_once() {
     let mut node = TestNode::with_servers(1);
     let connection = *node.connections.keys().next().unwrap();
     node.server_releases(connection, 7, 16);
@@ -69,8 +77,9 @@
     assert_eq!(node.engine.load().calls, 0, "no call is left");
 }
 
-/// Hundreds of calls end at once and their caller's connection is closed: all releases are sent on another, at a rate that
-/// one reader can take, and all again where that one closes too.
+/// Hundreds of calls end at once after the connection of their caller has closed. All releases are sent on the connection
+/// of another caller, at a rate that one slow reader can take. They are sent again on a third connection when that one
+/// closes too.
 #[test]
 fn many_releases_are_paced_on_another_callers_connection() {
     let mut node = TestNode::with_servers(1);
@@ -82,19 +91,23 @@
     node.establish(2, 7, 0);
     node.input(Input::CallerDisconnected(CallerId(1)));
     calls.iter().for_each(|(connection, call)| node.server_releases(*connection, *call, 16));
-    let told = |node: &TestNode, to: u64| {
+    let releases_sent = |node: &TestNode, to: u64| {
         node.sent_to_callers().iter().filter(|(caller, value)| *caller == to && value["t"] == "down").count()
     };
-    assert!(told(&node, 2) < 400, "no more at once than a reader can take: {}", told(&node, 2));
+    assert!(
+        releases_sent(&node, 2) < 400,
+        "releases sent at once to one reader are limited: {}",
+        releases_sent(&node, 2)
+    );
     node.advance(900);
-    assert_eq!(told(&node, 2), 700);
+    assert_eq!(releases_sent(&node, 2), 700);
     node.establish(3, 8, 0);
     node.disconnect_caller(2);
     node.advance(900);
-    assert_eq!(told(&node, 3), 700);
+    assert_eq!(releases_sent(&node, 3), 700);
 }
 
-/// A release that a caller has confirmed is not sent again; one that no verified caller has confirmed is.
+/// An unverified caller that has confirmed a release does not receive it again once it is verified.
 #[test]
 fn confirmed_release_is_not_sent_again() {
     let EstablishedCalls { mut node, connection, .. } = EstablishedCalls::new();
--- a/crates/ochrelead-node/tests/shutdown.rs
+++ b/crates/ochrelead-node/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! A node that leaves service.
+//! The shutdown of a node: which set-ups and releases it still handles, and when it is complete.
 
 mod helper;
 
@@ -8,23 +8,27 @@
 use test_case::test_case;
 
 #[test]
-fn leaving_node_accepts_and_answers_set_ups_to_the_end() {
+fn node_in_shutdown_accepts_and_answers_set_ups() {
     let mut node = TestNode::with_servers(1);
     node.connect_caller(1);
     node.input(Input::Shutdown);
     node.send_line(1, &json!({"t": "hb", "ref": call_id(1), "f": {}, "c": 0}));
-    assert_eq!(node.answers(), [(1, "hb_ok".to_owned(), Some(0))], "the heartbeat says that it leaves");
+    assert_eq!(
+        node.answers(),
+        [(1, "hb_ok".to_owned(), Some(0))],
+        "the heartbeat reply reports the shutdown"
+    );
     node.advance(500);
     node.set_up(1, 7, 0);
     let (connection, _) = node.sent_to_servers("INVITE").pop().unwrap();
     node.advance(400);
-    assert!(!node.engine.is_closed(), "an answer is owed");
+    assert!(!node.engine.is_closed(), "a set-up is unanswered");
     node.respond(connection, &Response::accepted(7, 1));
     assert!(node.engine.is_closed());
 }
 
 #[test]
-fn leaving_node_waits_for_set_ups_that_may_still_arrive() {
+fn shutdown_lasts_for_the_grace_period() {
     let mut node = TestNode::with_servers(1);
     node.input(Input::Shutdown);
     node.advance(690);
@@ -34,20 +38,20 @@
 }
 
 #[test]
-fn leaving_node_sends_a_release_on_any_connection() {
+fn node_in_shutdown_sends_a_release_to_an_unverified_caller() {
     let mut node = TestNode::with_servers(1);
     node.connect_caller(1);
     let connection = node.establish(1, 7, 0);
     node.input(Input::CallerDisconnected(CallerId(1)));
     node.connect_caller(2);
     node.server_releases(connection, 7, 16);
-    assert_eq!(node.answers(), [], "no caller is verified");
+    assert_eq!(node.answers(), [], "no connected caller is verified");
     node.input_and_process(Input::Shutdown);
     assert_eq!(node.answers(), [(2, "down".to_owned(), Some(16))]);
 }
 
 #[test]
-fn leaving_node_that_owes_a_release_waits_for_a_caller() {
+fn shutdown_waits_for_a_caller_if_a_release_is_pending() {
     let mut node = TestNode::with_servers(1);
     node.connect_caller(1);
     let connection = node.establish(1, 7, 0);
@@ -55,24 +59,24 @@
     node.input(Input::Shutdown);
     node.server_releases(connection, 7, 16);
     node.advance(1_000);
-    assert!(!node.engine.is_closed(), "it owes a release");
+    assert!(!node.engine.is_closed(), "a release is pending");
     node.connect_caller(2);
     node.advance(100);
     assert_eq!(node.answers(), [(2, "down".to_owned(), Some(16))]);
     assert!(node.engine.is_closed());
 }
 
-/// The earliest kill is 3.7 s after SIGTERM where callers wait for 3 s.
-#[test_case(300; "before the grace is over")]
-#[test_case(2_500; "after it")]
-fn leaving_node_answers_everything_before_it_may_be_killed(set_up_at_ms: u64) {
+/// If callers wait for up to 3 s, the node may be killed from 3.7 s after SIGTERM.
+#[test_case(300; "set-up before the grace period ends")]
+#[test_case(2_500; "set-up after the grace period")]
+fn node_in_shutdown_answers_all_calls_before_it_may_be_killed(set_up_at_ms: u64) {
     let mut node = TestNode::with_servers(2);
     node.connect_caller(1);
-    // A call stands on the connection, so that it stays open.
+    // An established call keeps the connection open.
     node.establish(1, 99, 1);
     node.input_and_process(Input::Shutdown);
     node.advance(set_up_at_ms);
-    // The server hangs; the caller would wait for longer than the node may live.
+    // The server does not answer, and the caller's deadline is later than the time at which the node may be killed.
     let mut line = TestNode::set_up_line(7, 0);
     line["f"]["left"] = json!("3000");
     node.send_line(1, &line);
@@ -84,11 +88,11 @@
     assert_eq!(answers.len(), 1, "{answers:?}");
     assert_eq!((answers[0].0, answers[0].1.as_str()), (1, "down"));
     assert!(node.engine.is_closed());
-    assert!(node.sent_to_servers("CANCEL").len() == 1, "the server is told");
+    assert!(node.sent_to_servers("CANCEL").len() == 1, "the server receives a CANCEL");
 }
 
 #[test]
-fn leaving_node_refuses_a_set_up_that_it_could_not_answer_before_it_is_killed() {
+fn set_up_after_the_shutdown_answer_deadline_is_refused() {
     let mut node = TestNode::with_servers(1);
     node.connect_caller(1);
     node.establish(1, 99, 0);
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn leaving_node_waits_for_the_rest_of_a_set_up() {
+fn shutdown_waits_for_the_rest_of_a_set_up() {
     let mut node = TestNode::with_servers(1);
     node.connect_caller(1);
     node.input_and_process(Input::Shutdown);
@@ -109,15 +113,15 @@
     let (first, rest) = line.split_at(line.len() / 2);
     node.send_bytes(1, first.as_bytes());
     node.advance(200);
-    assert!(!node.engine.is_closed(), "the rest is to come");
+    assert!(!node.engine.is_closed(), "the rest of the set-up has not arrived");
     node.send_bytes(1, rest.as_bytes());
-    let (connection, _) = node.sent_to_servers("INVITE").pop().expect("an INVITE");
+    let (connection, _) = node.sent_to_servers("INVITE").pop().expect("an INVITE is sent");
     node.respond(connection, &Response::accepted(7, 1));
     assert!(node.engine.is_closed());
 }
 
 #[test]
-fn leaving_node_does_not_wait_for_a_line_that_stops_arriving() {
+fn shutdown_does_not_wait_for_a_stalled_line() {
     let mut node = TestNode::with_servers(1);
     node.connect_caller(1);
     node.input_and_process(Input::Shutdown);
