--- a/crates/ochrelead-node/src/bounds.rs
+++ b/crates/ochrelead-node/src/bounds.rs
@@ -17,7 +17,7 @@
 const BYTES_PER_CALLED_NUMBER: usize = 16_384;
 /// The memory budget of one signalling server.
 const BYTES_PER_SERVER: usize = 65_536;
-/// An upper bound on the length of a release line.
+/// An upper estimate of the length of a release line.
 const RELEASE_BYTES: usize = 100;
 
 /// The capacities of the engine's tables and of the queues of each connection.
@@ -89,7 +89,7 @@
     pub(crate) const SHUTDOWN_ANSWER_MARGIN: Span = Span::from_millis(100);
     /// The rest of a line is expected to arrive within this time after the last byte.
     pub(crate) const PARTIAL_LINE_TIMEOUT: Span = Span::from_millis(300);
-    /// A caller sends a set-up once more if it races with the close of its connection within this time.
+    /// If a set-up races with the close of its connection within this time, its caller sends it once more.
     pub(crate) const CLOSE_RACE_WINDOW: Span = Span::from_millis(50);
     /// The interval at which the coordinator repeats its last event index.
     pub(crate) const WATCH_HEARTBEAT: Span = Span::from_secs(1);
--- a/crates/ochrelead-node/src/call_table.rs
+++ b/crates/ochrelead-node/src/call_table.rs
@@ -45,9 +45,9 @@
     pub(crate) caller: CallerId,
     /// The index of its service class.
     pub(crate) class: usize,
-    /// Empty once the call is established, as is the description: only INVITEs need them.
+    /// The called number for further INVITEs; empty once the call is established.
     pub(crate) called_number: String,
-    /// The session description.
+    /// The session description for further INVITEs; empty once the call is established.
     pub(crate) description: String,
     pub(crate) deadline: Moment,
     /// The number of INVITEs so far, which is the sequence number of the last one.
--- a/crates/ochrelead-node/src/caller_table.rs
+++ b/crates/ochrelead-node/src/caller_table.rs
@@ -76,7 +76,7 @@
 
     /// The connection for a release after the connection of its call has closed: the most recently used one of a
     /// verified caller. With `allow_unverified`, falls back to the most recently used unverified one; this is for the
-    /// shutdown, when no other caller may connect.
+    /// shutdown, when there may be no later caller.
     pub(crate) fn release_recipient(&self, allow_unverified: bool) -> Option<CallerId> {
         self.0
             .iter()
@@ -114,7 +114,8 @@
         self.line_splitter.has_partial_line() && now.since(self.last_used) < protocol::PARTIAL_LINE_TIMEOUT
     }
 
-    /// Whether the connection is still unverified after 80 % of `INVALID_CALLER_DEADLINE`.
+    /// Whether the connection is still unverified after 80 % of `INVALID_CALLER_DEADLINE`; the rest of that time is
+    /// left for closing it.
     pub(crate) fn is_verification_overdue(&self, now: Moment) -> bool {
         !self.is_verified && now.since(self.opened_at) >= protocol::INVALID_CALLER_DEADLINE.scaled(0.8)
     }
--- a/crates/ochrelead-node/src/engine/call_setup.rs
+++ b/crates/ochrelead-node/src/engine/call_setup.rs
@@ -73,8 +73,8 @@
 }
 
 impl Engine {
-    /// Validates a set-up and passes it to the controller. Refuses it if the tables are full or the shutdown is too far
-    /// advanced to answer it.
+    /// Validates a set-up and passes it to the controller. Refuses it if the tables are full or the shutdown
+    /// deadline has passed.
     pub(super) fn on_set_up(&mut self, id: CallerId, set_up: SetUpRequest) -> Result<(), MessageError> {
         let ResolvedSetUp { class, tenant } = self.check_set_up(&set_up)?;
         if self.exceeds_capacity(&set_up) || self.refuses_set_ups() {
--- a/crates/ochrelead-node/src/engine/observations.rs
+++ b/crates/ochrelead-node/src/engine/observations.rs
@@ -11,7 +11,7 @@
 use crate::observation::{Observation, ServerActivity, ServerReport, SupersededToken, TrafficShare};
 use crate::server_table::Server;
 
-/// Observations queued for the coordination with other fronts, and the zone settings received from it.
+/// Observations queued for the coordination with other fronts, and the traffic shares received from it.
 pub(super) struct FleetObservations {
     is_enabled: bool,
     observations: VecDeque<Observation>,
--- a/crates/ochrelead-node/src/engine/releases.rs
+++ b/crates/ochrelead-node/src/engine/releases.rs
@@ -56,8 +56,7 @@
         }
     }
 
-    /// Queues a release after the connection of its call has closed.
-    /// Drops it if the queue is full.
+    /// Queues a release after the connection of its call has closed; drops it if the queue is full.
     pub(super) fn queue_release(&mut self, release: Release) {
         if self.pending_releases.queue.len() < self.bounds.pending_releases {
             self.pending_releases.queue.push_back(release);
--- a/crates/ochrelead-node/src/engine/server_connections.rs
+++ b/crates/ochrelead-node/src/engine/server_connections.rs
@@ -106,10 +106,10 @@
         self.on_server_disconnected(id, false);
     }
 
-    /// Marks a server with established calls as needing a new connection, after one was aborted or ended within a message
-    /// or with an INVITE in flight. A release may have been lost with it, and the server repeats that release on its next
-    /// connection. An orderly close loses nothing, and a server that closes connections because it has too many must not
-    /// be sent another one.
+    /// Marks a server with established calls as needing a new connection, after one was aborted or ended within a
+    /// message or with an INVITE in flight. A release may have been lost with it, and the server repeats that release
+    /// on its next connection. An orderly close loses nothing, and a server that closes connections because it has too
+    /// many must not get a replacement.
     fn expect_repeated_releases(&mut self, server: ServerIx) {
         if self.calls.has_established_at(server) {
             self.servers.get_mut(server).awaits_repeated_releases = true;
--- a/crates/ochrelead-node/src/engine/server_side.rs
+++ b/crates/ochrelead-node/src/engine/server_side.rs
@@ -164,7 +164,8 @@
         }
     }
 
-    /// Sends a health check under a fencing token on behalf of all fronts. If no connection is open, only requests one.
+    /// Sends a health check under a fencing token on behalf of all fronts. If no connection is open, it is not
+    /// sent; the next maintenance opens a connection.
     pub fn send_health_check(&mut self, server: &str, token: FencingToken) {
         let Some(server) = self.servers.find(server) else { return };
         if !self.servers.get(server).is_ready() {
--- a/crates/ochrelead-node/src/engine/shutdown.rs
+++ b/crates/ochrelead-node/src/engine/shutdown.rs
@@ -78,7 +78,7 @@
     }
 
     /// Whether the shutdown is complete: no answer or release is owed and no further set-up can arrive. A release that
-    /// cannot be sent to any caller delays this until `INVALID_CALLER_DEADLINE` after the start of the shutdown at most.
+    /// cannot be sent to any caller delays this at most until `INVALID_CALLER_DEADLINE` after the shutdown began.
     pub fn is_closed(&self) -> bool {
         let Some(elapsed) = self.time_since_shutdown() else { return false };
         let owes_release = !self.pending_releases.is_empty() && elapsed < protocol::INVALID_CALLER_DEADLINE;
