--- a/crates/ochrelead-lease/src/candidate.rs
+++ b/crates/ochrelead-lease/src/candidate.rs
@@ -1,4 +1,4 @@
-//! One front's way to one lease: backing off, requesting votes, holding and renewing, releasing.
+//! One front's candidacy for one task: back-off, vote rounds, holding, renewal and release of the lease.
 
 use std::collections::BTreeSet;
 
@@ -11,11 +11,11 @@
 use crate::message::{Refusal, RefusalReason};
 use crate::token::FencingToken;
 
-/// A candidate that hears nobody backs off exponentially, up to this power of two durations: what voters promise to it
-/// is of no use.
+/// The limit of the exponential back-off, `(2^n - 1) * duration` after n consecutive rounds that no other front
+/// answered. Promises whose grants do not reach the candidate only keep the task from other candidates.
 const MAX_BACKOFF_EXPONENT: u32 = 3;
 
-/// What a candidate decides by.
+/// The time, electorate and durations that a candidate's decisions depend on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Context<'a> {
     pub(crate) now: Moment,
@@ -23,18 +23,18 @@
     pub(crate) config: &'a LeaseConfig,
 }
 
-/// Votes that are being collected.
+/// A round of vote requests that is still collecting votes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct VoteRound {
     number: u64,
     started_at: Moment,
     granted_by: BTreeSet<u32>,
     refused_by: BTreeSet<u32>,
-    /// The longest that a refusal said to wait.
+    /// The longest remaining time that a refusal in this round reported.
     max_remaining: Span,
 }
 
-/// A message for all voters.
+/// A message to all voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Broadcast {
     VoteRequest { round: u64, token: FencingToken, is_renewal: bool },
@@ -45,22 +45,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Candidate {
     local: MemberId,
-    /// How many others should ask before this front; `None` where it does not want the task.
+    /// How many candidates have precedence over this front; `None` if it is not a candidate.
     rank: Option<u32>,
     vote_round: Option<VoteRound>,
     lease: Option<Lease>,
-    /// No votes are requested before.
+    /// No vote round starts before this time.
     backoff_until: Moment,
-    /// The highest token known.
+    /// The highest known token of the task.
     highest_token: FencingToken,
-    /// Why a vote was refused last.
+    /// The reason of the last refusal since the lease was last granted.
     last_refusal: Option<RefusalReason>,
-    /// The token of the round that is open, or was last.
+    /// The token requested in the open round, or else in the last one.
     token: FencingToken,
+    /// The number of this candidate's last round.
     last_round: u64,
-    /// When a round last failed.
+    /// When a round last failed; [`Moment::START`] if none has failed.
     failed_at: Moment,
-    /// How many rounds in a row no other front answered.
+    /// The number of consecutive rounds that no other front answered, at most [`MAX_BACKOFF_EXPONENT`].
     unanswered_rounds: u32,
 }
 
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Whether this front wants the task.
+    /// Whether this front is a candidate for the task.
     pub(crate) fn is_active(&self) -> bool {
         self.rank.is_some()
     }
@@ -94,12 +95,13 @@
         self.last_refusal
     }
 
-    /// Remembers a token, from whatever source.
+    /// Raises the highest known token to `token` if that is higher.
     pub(crate) fn observe_token(&mut self, token: FencingToken) {
         self.highest_token = self.highest_token.max(token);
     }
 
-    /// Wants the task, behind `rank` other candidates; `None` ends the candidacy.
+    /// Starts or continues the candidacy with `rank` candidates before this one; `None` ends it and releases the
+    /// lease. A new candidate waits for `rank` vote timeouts before its first round.
     pub(crate) fn set_rank(
         &mut self,
         rank: Option<u32>,
@@ -115,30 +117,34 @@
         if rank.is_none() { self.release(now) } else { None }
     }
 
-    /// The lease, where it has not expired.
+    /// The lease, if it has not expired.
     pub(crate) fn lease(&self, now: Moment) -> Option<&Lease> {
         self.lease.as_ref().filter(|lease| now < lease.expires_at)
     }
 
+    /// A permit under the lease, if it has not expired.
     pub(crate) fn permit(&self, now: Moment) -> Option<Permit> {
         let lease = self.lease(now)?;
         Some(Permit { token: lease.token, expires_at: lease.expires_at })
     }
 
-    /// Holds nothing from this moment on, so that voters need not keep their promises.
+    /// Gives up the lease and the open round. If the lease was valid or a round was open, returns the withdrawal on
+    /// which voters end their promises early.
     fn release(&mut self, now: Moment) -> Option<Broadcast> {
         let was_held = self.lease.take().is_some_and(|lease| now < lease.expires_at);
         let was_requested = self.vote_round.take().is_some();
         (was_held || was_requested).then_some(Broadcast::VoteWithdrawn { round: self.last_round })
     }
 
-    /// An act was refused because of a higher token: a lease with a lower one is void.
+    /// An operation was refused because the resource had seen the token `highest`; a lease with a lower token is
+    /// released.
     pub(crate) fn on_fenced(&mut self, highest: FencingToken, now: Moment) -> Option<Broadcast> {
         self.observe_token(highest);
         let is_stale = self.lease.as_ref().is_some_and(|lease| lease.token < highest);
         if is_stale { self.release(now) } else { None }
     }
 
+    /// The open round, if it has this number.
     fn open_round(&mut self, number: u64) -> Option<&mut VoteRound> {
         self.vote_round.as_mut().filter(|round| round.number == number)
     }
@@ -149,7 +155,7 @@
         if !context.electorate.is_majority(&round.granted_by) {
             return;
         }
-        // Counted from when votes were requested: every promise began later.
+        // Measured from the request: every promise started after it.
         let expires_at = round.started_at + context.config.holder_duration();
         self.vote_round = None;
         if context.now < expires_at {
@@ -171,8 +177,9 @@
         }
     }
 
-    /// A voter's promise to another has ended early: candidates that wait ask soon, the first at once. This never makes
-    /// a candidate ask more often than it would by itself.
+    /// A voter's promise to another candidate ended early. A waiting candidate reduces its back-off to
+    /// `(rank - 1) * vote_timeout / 4`, but not within `vote_timeout / 4` of its last failed round, so that these
+    /// notifications do not raise the rate of requests.
     pub(crate) fn on_released(&mut self, now: Moment, config: &LeaseConfig) {
         let step = config.vote_timeout / 4;
         let is_idle = self.vote_round.is_none() && self.lease(now).is_none();
@@ -182,7 +189,9 @@
         }
     }
 
-    /// Does what is due. `last_round` counts this front's vote rounds; `draw_jitter` draws an addition to a wait.
+    /// Drops an expired lease, ends a round that timed out or can no longer win, and starts a round that is due.
+    /// `last_round` numbers the vote rounds of this front for all tasks; `draw_jitter(limit)` draws a random duration
+    /// below `limit`.
     pub(crate) fn process(
         &mut self,
         context: Context<'_>,
@@ -190,7 +199,7 @@
         draw_jitter: impl FnOnce(Span) -> Span,
     ) -> Option<Broadcast> {
         if self.lease.as_ref().is_some_and(|lease| lease.expires_at <= context.now) {
-            // What comes next is another lease, with another token.
+            // A lease acquired after expiry is a new one, with a new token.
             self.lease = None;
             if self.vote_round.is_some() {
                 return self.fail_round(context, draw_jitter);
@@ -227,7 +236,7 @@
         Broadcast::VoteRequest { round: number, token: self.token, is_renewal: self.lease.is_some() }
     }
 
-    /// When the next round may start: a lease is renewed from half of its time on.
+    /// When the next round may start. The holder renews its lease once half of its duration has passed.
     fn next_round_at(&self, config: &LeaseConfig) -> Moment {
         let renewal_at = self.lease.as_ref().map(|lease| {
             let half = config.holder_duration().micros() / 2;
@@ -236,7 +245,8 @@
         renewal_at.map_or(self.backoff_until, |renewal_at| renewal_at.max(self.backoff_until))
     }
 
-    /// There was no majority: promises are withdrawn where no lease depends on them, and the candidate backs off.
+    /// Ends the open round without a majority and backs off. A holder keeps the promises of the failed round and
+    /// retries after at most a quarter of the jitter; any other candidate withdraws the round.
     fn fail_round(
         &mut self,
         context: Context<'_>,
@@ -258,18 +268,21 @@
         Some(Broadcast::VoteWithdrawn { round: round.number })
     }
 
-    /// A promise to another is waited for, and every candidate but the first waits a duration longer for each candidate
-    /// before it, so that a held task costs few requests. Where only the token was too low, votes are requested again
-    /// at once.
+    /// The delay after a failed round, without jitter: `remaining + stagger + unanswered`.
+    ///
+    /// - `remaining` is the longest remaining time of the refusals, at most one lease duration. It is zero if voters
+    ///   refused only because the token was too low; votes are then requested again at once.
+    /// - `stagger` is `(rank - 1) * duration` if `remaining` is not zero; it limits the requests for a held task.
+    /// - `unanswered` is `(2^n - 1) * duration` after n rounds without an answer from another front.
     fn backoff(&self, failed: &VoteRound, config: &LeaseConfig) -> Span {
         let remaining = failed.max_remaining.min(config.duration);
         let candidates_before = u64::from(self.rank.unwrap_or(0).saturating_sub(1));
-        let turn = if remaining > Span::ZERO { config.duration * candidates_before } else { Span::ZERO };
+        let stagger = if remaining > Span::ZERO { config.duration * candidates_before } else { Span::ZERO };
         let unanswered = config.duration * ((1 << self.unanswered_rounds) - 1);
-        remaining + turn + unanswered
+        remaining + stagger + unanswered
     }
 
-    /// When [`Candidate::process`] is due.
+    /// When [`Candidate::process`] is next due.
     pub(crate) fn poll_timeout(&self, electorate: &Electorate, config: &LeaseConfig) -> Option<Moment> {
         let expires_at = self.lease.as_ref().map(|lease| lease.expires_at);
         let next = match &self.vote_round {
--- a/crates/ochrelead-lease/src/codec.rs
+++ b/crates/ochrelead-lease/src/codec.rs
@@ -1,4 +1,4 @@
-//! Lease messages as bytes, for a part of a datagram between fronts.
+//! The encoding of lease messages, each of which is carried as a part of a gossip datagram.
 
 use ochrelead_core::time::Span;
 use ochrelead_gossip::MemberId;
@@ -8,7 +8,7 @@
 use crate::schema::{self, message::Kind};
 use crate::token::{FencingToken, TaskId};
 
-/// The schema's numbers of the reasons for a refusal; 0 is none of them.
+/// The numbers of the refusal reasons in the schema; 0 is not assigned.
 mod reason {
     pub(super) const ABSTAINING: u32 = 1;
     pub(super) const PROMISED_TO: u32 = 2;
@@ -72,7 +72,7 @@
     }
 }
 
-/// Decodes a message; `None` where it is malformed or of a kind that is not known here.
+/// Decodes a message; `None` if it is malformed, of an unknown kind, or has a token outside the accepted range.
 pub fn decode(bytes: &[u8]) -> Option<Message> {
     let message = schema::Message::decode(bytes).ok()?;
     let task = TaskId(message.task);
@@ -109,14 +109,15 @@
         reason::STALE_TOKEN => RefusalReason::StaleToken,
         reason::GENERATION_MISMATCH => RefusalReason::GenerationMismatch,
         reason::DURATION_TOO_LONG => RefusalReason::DurationTooLong,
-        // A reason that only a newer version knows is a refusal all the same.
+        // A reason of a newer version is unknown here, but the vote is still refused.
         _ => RefusalReason::Abstaining,
     };
     let highest_token = decode_token(refused.highest_token)?;
     Some(Refusal { reason, highest_token, remaining: Span::from_micros(refused.remaining_us) })
 }
 
-/// A token from outside; a missing one is [`FencingToken::NONE`], and an implausible one is refused.
+/// Decodes a received token. A missing token is [`FencingToken::NONE`]; the result is `None` if the counter is outside
+/// the accepted range.
 fn decode_token(token: Option<schema::FencingToken>) -> Option<FencingToken> {
     token.map_or(Some(FencingToken::NONE), |token| {
         Some(FencingToken::from(token)).filter(|token| token.is_plausible())
--- a/crates/ochrelead-lease/src/electorate.rs
+++ b/crates/ochrelead-lease/src/electorate.rs
@@ -1,52 +1,53 @@
-//! Who votes. All fronts derive the same electorate from the list of fronts: a few, evenly spaced over their numbers.
+//! The fronts that vote. All fronts derive the same electorate from the list of fronts: a few voters, evenly spaced
+//! over the front numbers.
 //!
-//! An electorate is replaced by way of a joint generation, as in Raft's joint consensus, in which a lease takes a
-//! majority of both the former and the new voters. Any majority of a generation then shares a voter with any majority
-//! of the generation before and after. A voter refuses candidates of a generation lower than the highest that it has
-//! granted, so a change is not undone by those that missed it.
+//! An electorate is replaced through a joint generation, as in Raft's joint consensus, in which a lease needs a
+//! majority of the former voters and a majority of the new ones. Any majority of a generation therefore shares a
+//! voter with any majority of the previous and of the next generation. A voter refuses candidates of a generation
+//! lower than its own or than one in which it has granted a vote, so fronts that missed a change cannot undo it.
 
 use std::collections::BTreeSet;
 
 use thiserror::Error;
 
-/// How many fronts vote by default; two of them may be down.
+/// The default number of voters; leases can be granted while two of them are down.
 pub const DEFAULT_SIZE: usize = 5;
 
-/// Why an electorate that was configured is refused.
+/// Why a configured electorate is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum ElectorateError {
-    /// Nobody would vote.
-    #[error("no voters")]
+    /// The list of voters is empty.
+    #[error("the list of voters is empty; at least one front must vote")]
     NoVoters,
-    /// A voter is none of the listed fronts.
-    #[error("voter {front}: there are {fleet_size} fronts, counted from 0")]
+    /// A voter is not one of the listed fronts.
+    #[error("voter {front} is not a listed front; the {fleet_size} fronts are numbered from 0")]
     UnknownFront {
-        /// The voter as configured.
+        /// The configured voter.
         front: u32,
-        /// How many fronts there are.
+        /// The number of listed fronts.
         fleet_size: u32,
     },
 }
 
-/// The fronts that vote, and whether it takes two majorities.
+/// The fronts that vote, and in a joint generation the former voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Electorate {
-    /// Rises with each change of the voters.
+    /// Increases with each change of the voters.
     pub generation: u32,
     voters: Vec<u32>,
-    /// In a joint generation: the voters of the generation before, whose majority is needed too.
+    /// The voters of the previous generation, whose majority is also needed; empty unless the generation is joint.
     former_voters: Vec<u32>,
 }
 
 impl Electorate {
-    /// An electorate of these voters.
+    /// An electorate of these voters, without former voters.
     pub fn new(generation: u32, voters: &[u32]) -> Electorate {
         Electorate { generation, voters: voters.to_vec(), former_voters: Vec::new() }
     }
 
-    /// `size` voters, evenly spaced over the numbers of all fronts. An even size is reduced by one: the extra voter
-    /// would raise the majority and tolerate no more failures.
+    /// An electorate of `size` voters, evenly spaced over the numbers of all fronts. An even size is reduced by one:
+    /// the additional voter would raise the majority without tolerating another failure.
     ///
     /// ```
     /// use ochrelead_lease::electorate::Electorate;
@@ -63,11 +64,11 @@
         Electorate { generation, voters: (0..size).map(voter).collect(), former_voters: Vec::new() }
     }
 
-    /// The voters that an operator named, and in a joint generation the former ones.
+    /// The electorate of the voters that the operator configured, with `former_voters` in a joint generation.
     ///
     /// # Errors
     ///
-    /// Where there are no voters, or one of them is not among the fronts.
+    /// If `voters` is empty, or if one of the voters is not a listed front.
     pub fn from_config(
         generation: u32,
         voters: &[u32],
@@ -83,34 +84,35 @@
         Ok(Electorate { generation, voters: voters.to_vec(), former_voters: former_voters.to_vec() })
     }
 
-    /// The joint generation between two electorates, in which both majorities are needed.
+    /// The joint generation between two electorates, in which a majority of each is needed.
     pub fn joint(from: &Electorate, to: &Electorate) -> Electorate {
         let generation = from.generation.max(to.generation) + 1;
         Electorate { generation, voters: to.voters.clone(), former_voters: from.voters.clone() }
     }
 
-    /// The generation after a joint one, in which only the new voters are left.
+    /// The generation after a joint one, in which only the new voters vote.
     pub fn without_former_voters(&self) -> Electorate {
         Electorate::new(self.generation + 1, &self.voters)
     }
 
-    /// Whether a front votes, by either set of voters.
+    /// Whether a front is a voter or a former voter.
     pub fn is_voter(&self, front: u32) -> bool {
         self.voters.contains(&front) || self.former_voters.contains(&front)
     }
 
-    /// All voters, each once.
+    /// All voters, including former ones.
     pub fn voters(&self) -> BTreeSet<u32> {
         self.voters.iter().chain(&self.former_voters).copied().collect()
     }
 
-    /// Whether these voters are a majority; in a joint generation, of both sets.
+    /// Whether these voters are a majority, in a joint generation a majority of each set.
     pub fn is_majority(&self, granted_by: &BTreeSet<u32>) -> bool {
-        let has_most_of = |voters: &[u32]| {
+        let has_majority_of = |voters: &[u32]| {
             let granted = voters.iter().filter(|front| granted_by.contains(front)).count();
             granted * 2 > voters.len()
         };
-        has_most_of(&self.voters) && (self.former_voters.is_empty() || has_most_of(&self.former_voters))
+        has_majority_of(&self.voters)
+            && (self.former_voters.is_empty() || has_majority_of(&self.former_voters))
     }
 
     /// Whether a majority is still possible after these voters have refused.
--- a/crates/ochrelead-lease/src/engine.rs
+++ b/crates/ochrelead-lease/src/engine.rs
@@ -1,7 +1,7 @@
-//! One front's part in all leases of its fleet, without I/O.
+//! The lease state machine of one front, as voter and candidate, without I/O.
 //!
-//! The host hands in received messages, says which tasks this front is a candidate for, asks for a permit right before
-//! each act, and sends what [`Engine::poll_output`] returns.
+//! The host passes in received messages, sets the tasks for which this front is a candidate, requests a permit
+//! directly before each operation under a lease, and sends the messages that [`Engine::poll_output`] returns.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -20,61 +20,62 @@
 use crate::token::{FencingToken, TaskId};
 use crate::voter::Voter;
 
-/// How many tasks one front is a candidate for at once.
+/// The maximum number of tasks for which one front is a candidate at the same time.
 const MAX_CANDIDACIES: usize = 256;
 
-/// A candidate whose lease has expired may request votes again in the same call.
-const STEPS_PER_CALL: usize = 2;
+/// The maximum number of broadcasts for a task in one call of [`Engine::process`]: a candidate that withdraws a failed
+/// round may request votes again in the same call.
+const MAX_BROADCASTS_PER_TASK: usize = 2;
 
-/// What an engine is made from.
+/// The configuration of an [`Engine`].
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// This front, in its present incarnation.
+    /// This front in its current incarnation.
     pub local: MemberId,
-    /// Who votes.
+    /// The voters.
     pub electorate: Electorate,
-    /// How leases run.
+    /// The durations of leases and vote rounds.
     pub lease: LeaseConfig,
-    /// The seed of the random waits.
+    /// The seed of the random back-off.
     pub seed: u64,
 }
 
-/// A promise that a voter has made, as shown in a status.
+/// An unexpired promise of this voter, for the status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromiseStatus {
     /// The candidate that the task is promised to.
     pub candidate: MemberId,
-    /// How much longer the promise runs.
+    /// The time until the promise expires.
     pub remaining: Span,
 }
 
-/// The state of one task at this front, for operators.
+/// The state of one task at this front, for the status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseStatus {
     /// The task.
     pub task: TaskId,
-    /// Whether this front wants to hold it.
+    /// Whether this front is a candidate for the task.
     pub is_candidate: bool,
-    /// The lease, where this front holds it.
+    /// The lease, if this front holds it.
     pub lease: Option<Lease>,
-    /// As a voter: the promise in force.
+    /// The unexpired promise, if this front is a voter and has made one.
     pub promise: Option<PromiseStatus>,
-    /// The highest token known.
+    /// The highest known token of the task.
     pub highest_token: FencingToken,
-    /// Why a vote was refused last, where the lease was not granted since.
+    /// The reason of the last refusal since the lease was last granted.
     pub last_refusal: Option<RefusalReason>,
 }
 
 /// A message to send.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Transmit {
-    /// The front that it goes to.
+    /// The number of the receiving front.
     pub recipient: u32,
-    /// What is sent.
+    /// The message.
     pub message: Message,
 }
 
-/// The state machine of one front: a voter, where the electorate says so, and a candidate for any number of tasks.
+/// The state machine of one front: a voter, if the electorate contains it, and a candidate for up to 256 tasks.
 #[derive(Clone, Debug)]
 pub struct Engine {
     local: MemberId,
@@ -82,18 +83,19 @@
     electorate: Electorate,
     voter: Option<Voter>,
     candidates: BTreeMap<TaskId, Candidate>,
-    /// The number of the last vote round.
+    /// The number of the last vote round, counted over all tasks.
     last_round: u64,
     rng: Pcg64Mcg,
-    /// When the other voters are next asked for their tokens; only while this voter abstains.
+    /// When the other voters are next queried for their tokens; `None` unless this voter abstains.
     token_query_at: Option<Moment>,
     outbox: VecDeque<Transmit>,
-    /// Leaving service: no more candidacies.
+    /// This front is leaving service and starts no candidacies.
     is_leaving: bool,
 }
 
 impl Engine {
-    /// A front's part from its start on; `persisted` where it has a disk with the promises of its last incarnation.
+    /// The state of a front at its start. `persisted` contains the promises of its previous incarnation, if they were
+    /// stored on disk.
     pub fn new(config: EngineConfig, persisted: Option<&PersistedState>, now: Moment) -> Engine {
         let EngineConfig { local, electorate, lease: config, seed } = config;
         let generation = electorate.generation;
@@ -108,7 +110,7 @@
             electorate,
             voter,
             candidates: BTreeMap::new(),
-            // Rounds of another incarnation are never taken for this one's.
+            // The incarnation in the upper 32 bits keeps the round numbers of incarnations apart.
             last_round: u64::from(local.incarnation) << 32,
             rng: Pcg64Mcg::seed_from_u64(seed),
             token_query_at: is_abstaining.then_some(now),
@@ -117,28 +119,28 @@
         }
     }
 
-    /// This front, in its present incarnation.
+    /// This front in its current incarnation.
     pub fn local(&self) -> MemberId {
         self.local
     }
 
-    /// Who votes.
+    /// The voters.
     pub fn electorate(&self) -> &Electorate {
         &self.electorate
     }
 
-    /// This front's part as a voter, where it is one.
+    /// The voter state of this front; `None` if it is not a voter.
     pub fn voter(&self) -> Option<&Voter> {
         self.voter.as_ref()
     }
 
-    /// Handles a message of another front, or of this one to itself.
+    /// Handles a message from another front or from this front to itself.
     pub fn handle_input(&mut self, now: Moment, sender: MemberId, message: &Message) {
         match *message {
             Message::VoteRequest(request) => self.on_vote_request(now, sender, &request),
             Message::VoteWithdrawn { task, round } => self.on_vote_withdrawn(now, sender, task, round),
             Message::TokenQuery => self.on_token_query(now, sender),
-            // The rest counts from voters only.
+            // All other messages are accepted from voters only.
             _ if !self.electorate.is_voter(sender.front) => {}
             Message::VoteGranted { task, round } => {
                 let context = Context { now, electorate: &self.electorate, config: &self.config };
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Remembers a token, from whatever source.
+    /// Raises the highest known token of a task to `token` if that is higher.
     pub fn observe_token(&mut self, now: Moment, task: TaskId, token: FencingToken) {
         if let Some(voter) = &mut self.voter {
             voter.observe_token(task, token, now);
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Makes this front a candidate for a task, behind `rank` others, or with `None` ends its candidacy.
+    /// Makes this front a candidate for a task, with `rank` candidates before it; `None` ends the candidacy.
     pub fn set_candidacy(&mut self, now: Moment, task: TaskId, rank: Option<u32>) {
         let rank = rank.filter(|_| !self.is_leaving);
         if !self.candidates.contains_key(&task) {
@@ -207,7 +209,7 @@
         self.drop_ended_candidacies();
     }
 
-    /// Bounds the table: an ended candidacy knows nothing that voters do not know.
+    /// Drops ended candidacies once the table is half full. Voters store everything that an ended candidacy knows.
     fn drop_ended_candidacies(&mut self) {
         if self.candidates.len() >= MAX_CANDIDACIES / 2 {
             self.candidates.retain(|_, candidate| candidate.is_active());
@@ -222,12 +224,14 @@
         }
     }
 
-    /// Whether this front may act now. To be asked right before each act.
+    /// The permit for an operation under the lease, `None` if this front does not hold it. The host requests a permit
+    /// directly before each operation.
     pub fn permit(&self, now: Moment, task: TaskId) -> Option<Permit> {
         self.candidates.get(&task)?.permit(now)
     }
 
-    /// An act was refused by whoever was acted upon, because it had seen a higher token.
+    /// A resource refused an operation of this front because it had seen the higher token `highest`. A lease with a
+    /// lower token is released.
     pub fn on_fenced(&mut self, now: Moment, task: TaskId, highest: FencingToken) {
         self.observe_token(now, task, highest);
         let candidate = self.candidates.get_mut(&task);
@@ -235,11 +239,11 @@
         self.broadcast(now, task, broadcast);
     }
 
-    /// Does all that is due.
+    /// Sends the token queries, withdrawals and vote requests that are due.
     pub fn process(&mut self, now: Moment) {
         self.query_tokens(now);
         for task in self.candidates.keys().copied().collect::<Vec<_>>() {
-            for _ in 0..STEPS_PER_CALL {
+            for _ in 0..MAX_BROADCASTS_PER_TASK {
                 let broadcast = self.process_candidate(now, task);
                 if broadcast.is_none() {
                     break;
@@ -249,7 +253,7 @@
         }
     }
 
-    /// While this voter abstains, it learns the others' tokens.
+    /// Queries the other voters for their tokens, once per vote timeout while this voter abstains.
     fn query_tokens(&mut self, now: Moment) {
         if self.token_query_at.is_none_or(|query_at| now < query_at) {
             return;
@@ -257,9 +261,10 @@
         let is_abstaining = self.voter.as_ref().is_some_and(|voter| voter.abstaining_until(now).is_some());
         self.token_query_at = is_abstaining.then(|| now + self.config.vote_timeout);
         if is_abstaining {
-            let others = self.electorate.voters().into_iter().filter(|front| *front != self.local.front);
+            let other_voters =
+                self.electorate.voters().into_iter().filter(|front| *front != self.local.front);
             let query = |recipient| Transmit { recipient, message: Message::TokenQuery };
-            self.outbox.extend(others.map(query));
+            self.outbox.extend(other_voters.map(query));
         }
     }
 
@@ -273,6 +278,7 @@
         self.candidates.get_mut(&task)?.process(context, &mut self.last_round, draw_jitter)
     }
 
+    /// Sends a broadcast to all voters, this front included if it votes.
     fn broadcast(&mut self, now: Moment, task: TaskId, broadcast: Option<Broadcast>) {
         let message = match broadcast {
             None => return,
@@ -291,7 +297,7 @@
         }
     }
 
-    /// To other fronts by way of the host, to itself at once.
+    /// Queues a message for another front; a message to this front is handled at once.
     fn send(&mut self, now: Moment, recipient: u32, message: Message) {
         if recipient == self.local.front {
             self.handle_input(now, self.local, &message);
@@ -305,14 +311,14 @@
         self.outbox.pop_front()
     }
 
-    /// When [`Engine::process`] is due although no message came.
+    /// When [`Engine::process`] is due if no message arrives before.
     pub fn poll_timeout(&self) -> Option<Moment> {
         let candidates = self.candidates.values();
         let timeouts = candidates.map(|candidate| candidate.poll_timeout(&self.electorate, &self.config));
         timeouts.chain([self.token_query_at]).flatten().min()
     }
 
-    /// The state of each task that this front knows of.
+    /// The state of each task for which this front is a candidate or, as a voter, knows a token.
     pub fn status(&self, now: Moment) -> Vec<LeaseStatus> {
         let voted = self.voter.iter().flat_map(|voter| voter.tokens().map(|(task, _)| task));
         let mut tasks: Vec<TaskId> = self.candidates.keys().copied().chain(voted).collect();
@@ -339,8 +345,8 @@
         }
     }
 
-    /// Hashes all state that the future of this engine depends on, except the random draws of its waits. Two engines
-    /// with equal fingerprints go on alike; a model checker recognizes states by it.
+    /// Hashes all state that determines the behaviour of this engine, except the random generator of its back-off. Two
+    /// engines with equal fingerprints behave alike, so the model checker identifies states by their fingerprints.
     pub fn fingerprint(&self, hasher: &mut impl Hasher) {
         let Engine { local, electorate, voter, candidates, last_round, token_query_at, .. } = self;
         (local, electorate, voter, candidates, last_round, token_query_at).hash(hasher);
--- a/crates/ochrelead-lease/src/lease.rs
+++ b/crates/ochrelead-lease/src/lease.rs
@@ -1,25 +1,25 @@
-//! A lease as its holder sees it, and the permit to act under it.
+//! A lease as its holder knows it, and the permit for operations under it.
 
 use ochrelead_core::time::Moment;
 
 use crate::token::FencingToken;
 
-/// A lease that a majority of voters granted.
+/// A lease that a majority of the voters granted to this front.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
-    /// The token that each act under this lease carries.
+    /// The token that each operation under this lease carries.
     pub token: FencingToken,
-    /// When the lease ends, by the holder's clock.
+    /// When the lease expires, by the holder's clock.
     pub expires_at: Moment,
-    /// When it was first granted; a renewal does not change it.
+    /// When the lease was first granted, by the holder's clock. A renewal does not change it.
     pub acquired_at: Moment,
 }
 
-/// Permission to act right now.
+/// Permission to start an operation under the lease now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Permit {
-    /// The token that the act has to carry.
+    /// The token that the operation must carry.
     pub token: FencingToken,
-    /// An act that has not begun by then must not begin.
+    /// An operation must start before this time, by the holder's clock.
     pub expires_at: Moment,
 }
--- a/crates/ochrelead-lease/src/lib.rs
+++ b/crates/ochrelead-lease/src/lib.rs
@@ -1,25 +1,28 @@
-//! Leases: tasks of a fleet, each with at most one holder, without a central server, a disk or synchronized clocks.
+//! Leases on the tasks of a fleet. Each task has at most one holder at a time; this needs no central server, no disk
+//! and no synchronized clocks.
 //!
-//! A few fronts, the [`electorate`], vote. A candidate asks all of them; a [`voter`] promises a task to one candidate
-//! for a duration on its own clock; promises of a majority are a lease. The holder counts from when it asked, a voter
-//! from when it promised, and the holder stops earlier by the bound on how far the rates of two clocks differ. So
-//! whenever a holder's permit is valid, a majority's promises run. A voter that restarts without persisted state
-//! remembers no promise: it abstains until none that it may have made can still run.
+//! A few fronts, the [`electorate`], are voters. A candidate requests the votes of all voters. A [`voter`] that
+//! grants its vote promises the task to that candidate for a duration on the voter's clock, and promises of a
+//! majority are a lease. The holder measures the lease from its request, each voter from its promise, and the
+//! holder's duration is shorter by the bound on the difference between the rates of two clocks. Therefore a majority
+//! of promises is unexpired whenever the holder has a valid permit. A voter that restarts without persisted state
+//! does not know its earlier promises, so it abstains until all of them have expired.
 //!
-//! Acting takes a [`Permit`](lease::Permit), asked for right before each act, that carries a [`FencingToken`]. Tokens
-//! rise from holder to holder; whoever is acted upon remembers the highest and refuses lower ones. That covers an act
-//! that was delayed on its way, and a holder that stalled between its permit and its act.
+//! The holder requests a [`Permit`](lease::Permit) directly before each operation under the lease. The permit
+//! contains a [`FencingToken`], and tokens increase from holder to holder. The resource that the operation goes to
+//! stores the highest token that it has seen and refuses lower ones. This fences off operations that were delayed in
+//! the network, and those of a holder that stalled between permit and operation.
 //!
-//! Only durations on one front's own clock are used. A clock must not go back while its process runs, and its rate must
-//! be off by no more than [`LeaseConfig::clock_drift_ppm`].
+//! Only durations on a single front's clock are used. A clock must not go back while its process runs, and the error
+//! of its rate must be at most [`LeaseConfig::clock_drift_ppm`].
 //!
-//! Parts:
+//! Modules:
 //!
-//! - [`engine`]: one front's part in all leases, as voter and candidate.
-//! - [`electorate`]: who votes, how many are a majority, and how that changes.
+//! - [`engine`]: the state machine of one front, as voter and candidate.
+//! - [`electorate`]: the voters, majorities, and changes of the voters.
 //! - [`voter`]: promises; [`persistence`]: promises on disk.
-//! - [`lease`]: what a holder has; [`token`]: tasks and fencing tokens; [`config`]: durations.
-//! - [`message`]: what fronts send each other; [`codec`]: the same as bytes.
+//! - [`lease`]: leases and permits; [`token`]: tasks and fencing tokens; [`config`]: durations.
+//! - [`message`]: messages between fronts; [`codec`]: their encoding.
 //!
 //! ```
 //! use ochrelead_core::time::{Moment, Span};
@@ -38,7 +41,7 @@
 //! let mut engine = Engine::new(config, Some(&PersistedState::default()), now);
 //! engine.set_candidacy(now, TaskId(1), Some(0));
 //! engine.process(now);
-//! // The only voter is this front itself, so that there is nothing to send.
+//! // This front is the only voter, so there is no message to send.
 //! assert_eq!(engine.poll_output(), None);
 //! assert_eq!(engine.permit(now, TaskId(1)).unwrap().token.counter, 1);
 //! ```
@@ -60,7 +63,7 @@
 pub use ochrelead_gossip::MemberId;
 pub use token::{FencingToken, TaskId};
 
-/// The schema's own types, as generated.
+/// The generated types of the Protobuf schema.
 #[allow(missing_docs, reason = "generated code; the schema file documents it")]
 pub mod schema {
     include!(concat!(env!("OUT_DIR"), "/ochrelead.lease.rs"));
--- a/crates/ochrelead-lease/src/message.rs
+++ b/crates/ochrelead-lease/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages that fronts exchange about leases. They may be lost, delayed, duplicated and reordered; the transport
-//! adds which member sent one.
+//! The messages that fronts exchange about leases. Messages may be lost, delayed, duplicated and reordered. The
+//! transport identifies the sender.
 
 use std::fmt;
 
@@ -8,22 +8,23 @@
 
 use crate::token::{FencingToken, TaskId};
 
-/// Why a voter does not grant its vote.
+/// Why a voter refuses a vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RefusalReason {
-    /// The voter has started without persisted state and may have made promises before.
+    /// The voter started without persisted state and may have made promises in its previous incarnation.
     Abstaining,
-    /// The task is promised to that member.
+    /// The task is promised to this member.
     PromisedTo(MemberId),
-    /// A higher token is known.
+    /// The voter knows a higher token of the task.
     StaleToken,
-    /// The candidate's electorate is not the one in force.
+    /// The generation of the candidate's electorate is lower than the voter's or than one in which the voter made a
+    /// promise, or more than one higher than the voter's.
     GenerationMismatch,
-    /// The requested duration is longer than any that is granted.
+    /// The requested duration is longer than the lease duration of the voter.
     DurationTooLong,
 }
 
-/// A few words for operators; part of the status text.
+/// The reason as shown in the status text.
 impl fmt::Display for RefusalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -39,71 +40,71 @@
 /// A candidate's request for a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VoteRequest {
-    /// The task that the candidate wants to hold.
+    /// The requested task.
     pub task: TaskId,
-    /// The vote round, counted over all rounds of one incarnation.
+    /// The number of the vote round, counted over all tasks of the candidate.
     pub round: u64,
-    /// The token that the candidate would act under.
+    /// The token that the candidate requests.
     pub token: FencingToken,
-    /// How long the promise is to run, on the voter's clock.
+    /// The requested duration of the promise, on the voter's clock.
     pub duration: Span,
     /// The generation of the candidate's electorate.
     pub generation: u32,
-    /// Whether the candidate holds the lease already.
+    /// Whether the candidate already holds the lease.
     pub is_renewal: bool,
 }
 
-/// What a voter says when it does not grant its vote.
+/// The contents of a refused vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Refusal {
-    /// Why the vote is refused.
+    /// The reason of the refusal.
     pub reason: RefusalReason,
-    /// The highest token of the task that the voter knows.
+    /// The highest token of the task that the voter knows; [`FencingToken::NONE`] if it sends none.
     pub highest_token: FencingToken,
-    /// How long asking again is of no use.
+    /// How long the voter will refuse further requests of this candidate; zero if a higher token suffices.
     pub remaining: Span,
 }
 
 /// A message between two fronts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// From a candidate to all voters.
+    /// A candidate requests the votes of all voters.
     VoteRequest(VoteRequest),
-    /// From a voter: promised, from now on, for the duration that was requested.
+    /// A voter promises the task to the candidate, for the requested duration from the first such request on.
     VoteGranted {
         /// The task of the request.
         task: TaskId,
         /// The round of the request.
         round: u64,
     },
-    /// From a voter: not promised.
+    /// A voter refuses a vote request.
     VoteRefused {
         /// The task of the request.
         task: TaskId,
         /// The round of the request.
         round: u64,
-        /// Why, and for how long.
+        /// The reason, and for how long.
         refusal: Refusal,
     },
-    /// From a candidate: promises of this round and of earlier ones are no longer needed.
+    /// A candidate withdraws its requests of this round and of all earlier ones; voters end the promises made on them.
     VoteWithdrawn {
         /// The task of the withdrawn requests.
         task: TaskId,
         /// The last withdrawn round.
         round: u64,
     },
-    /// From a voter, to the first candidate that it refused for another: that promise has ended before its time.
+    /// A voter notifies the first candidate that it refused because of a promise that the promise ended early.
     Released {
         /// The task that may be requested again.
         task: TaskId,
     },
-    /// From a voter that abstains: which tokens are known?
+    /// An abstaining voter queries the tokens of the other voters.
     TokenQuery,
-    /// The answer to [`Message::TokenQuery`], one for each task.
+    /// The answer to [`Message::TokenQuery`], one message for each task.
     TokenReport {
         /// The task of the token.
         task: TaskId,
-        /// The highest token known.
+        /// The highest token of the task that the sender knows.
         token: FencingToken,
     },
 }
--- a/crates/ochrelead-lease/src/persistence.rs
+++ b/crates/ochrelead-lease/src/persistence.rs
@@ -1,7 +1,7 @@
 //! A voter's promises as stored on disk: a CRC-32 checksum, then the schema's `PersistedState`.
 //!
-//! The state is written before a promise is sent, and a front that starts with it need not abstain. State that is
-//! corrupt, of a newer version or of another front is refused, and the front abstains as it would without a disk.
+//! The state is written before a promise is sent, so a voter that starts with it need not abstain. State that is
+//! corrupt, of a newer version or of another front is refused, and the voter abstains as it would without a disk.
 
 use ochrelead_gossip::MemberId;
 use prost::Message as _;
@@ -13,22 +13,22 @@
 /// The version that this program writes, and the newest that it reads.
 pub const VERSION: u32 = 1;
 
-/// Why stored state can't be used.
+/// Why stored state is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum RestoreError {
-    /// The checksum does not match, or the bytes are no stored state.
-    #[error("torn, or no file of this kind")]
+    /// The checksum does not match, or the bytes are not an encoded `PersistedState`.
+    #[error("voter state is truncated, corrupt, or not an encoded voter state")]
     Corrupt,
-    /// It has a newer version, and may hold promises that this program does not understand.
-    #[error("of version {0}, and {VERSION} is the newest known")]
+    /// The state has a newer version and may contain promises that this program cannot interpret.
+    #[error("voter state has version {0}; this program reads versions up to {VERSION}")]
     NewerVersion(u32),
-    /// It belongs to that front.
-    #[error("kept by front {0}")]
+    /// The state was stored by this other front.
+    #[error("voter state was stored by another front, front {0}")]
     OtherFront(u32),
 }
 
-/// A promise as stored. Its remaining time is not: it runs for a whole duration after a restart.
+/// A promise as stored, without its remaining time: after a restart it runs for a whole lease duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PersistedPromise {
     /// The candidate that the task was promised to.
@@ -37,28 +37,28 @@
     pub round: u64,
 }
 
-/// What is stored of one task.
+/// The stored state of one task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PersistedVote {
     /// The task.
     pub task: TaskId,
-    /// The last promise.
+    /// The last promise, if it was not withdrawn.
     pub promise: Option<PersistedPromise>,
-    /// The highest token that was promised or heard of.
+    /// The highest token that the voter promised or learned from others.
     pub highest_token: FencingToken,
 }
 
-/// What is stored of a voter.
+/// The stored state of a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistedState {
-    /// The highest generation of an electorate in which a promise was made.
+    /// The lowest electorate generation whose requests the voter accepts.
     pub generation: u32,
     /// The votes, by task.
     pub votes: Vec<PersistedVote>,
 }
 
 impl PersistedState {
-    /// The bytes to store for a front.
+    /// Encodes the state of front `front` for storage.
     pub fn encode(&self, front: u32) -> Vec<u8> {
         let body = schema::PersistedState {
             version: VERSION,
@@ -70,11 +70,11 @@
         [&crc32fast::hash(&body).to_le_bytes()[..], &body].concat()
     }
 
-    /// Reads what [`PersistedState::encode`] wrote for a front.
+    /// Decodes state that [`PersistedState::encode`] encoded for front `front`.
     ///
     /// # Errors
     ///
-    /// Where the bytes are corrupt, of a newer version, or of another front.
+    /// If the bytes are corrupt, of a newer version, or encoded for another front.
     pub fn decode(bytes: &[u8], front: u32) -> Result<PersistedState, RestoreError> {
         let (checksum, body) = bytes.split_first_chunk::<4>().ok_or(RestoreError::Corrupt)?;
         if crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
