--- a/crates/ochrelead-gossip/src/config.rs
+++ b/crates/ochrelead-gossip/src/config.rs
@@ -1,19 +1,20 @@
-//! How often fronts speak, and how much.
+//! The protocol period and the send budget of gossip.
 
 use ochrelead_core::time::Span;
 
-/// The configuration of gossip; the same at all fronts.
+/// The configuration of gossip. All fronts of a fleet use the same one.
 #[derive(Clone, Copy, Debug)]
 pub struct GossipConfig {
-    /// A front pings one other in each period.
+    /// The interval at which a front pings another one.
     pub protocol_period: Span,
-    /// The datagrams that a front sends in a period, on average over a few; more than that wait or are dropped.
+    /// The number of datagrams that a front may send per period, averaged over a few periods. Further messages are
+    /// delayed or dropped.
     pub datagrams_per_period: u32,
 }
 
 impl GossipConfig {
-    /// A period of one second, and room for a ping, the front's share of answers, four reports on zones, and as much
-    /// again for rumors and leases.
+    /// A period of one second, with a budget for one ping, the front's share of answers to pings and four zone
+    /// reports, doubled to leave as much again for rumors and leases.
     pub const DEFAULT: GossipConfig =
         GossipConfig { protocol_period: Span::from_secs(1), datagrams_per_period: 16 };
 }
--- a/crates/ochrelead-gossip/src/engine.rs
+++ b/crates/ochrelead-gossip/src/engine.rs
@@ -1,14 +1,15 @@
-//! One front's part in the fleet's gossip, without I/O.
+//! The gossip state machine of one front, without I/O.
 //!
-//! The host hands in datagrams with the number of the front at whose listed address they came from, calls
-//! [`Engine::process`] when [`Engine::poll_timeout`] says so, and sends what [`Engine::poll_output`] returns.
+//! The host passes in each received datagram with the number of the front that is listed at its source address, calls
+//! [`Engine::process`] when [`Engine::poll_timeout`] is reached, and sends the datagrams that [`Engine::poll_output`]
+//! returns.
 
 use std::collections::VecDeque;
 
 use ochrelead_core::time::{Moment, Span};
 
 use crate::config::GossipConfig;
-use crate::dissemination::{Dissemination, MAX_RUMOR_SIZE, RumorId, RumorSubject};
+use crate::dissemination::{Dissemination, ItemId, MAX_RUMOR_SIZE, RumorId};
 use crate::failure_detector::FailureDetector;
 use crate::members::{MemberId, MemberState, Members};
 use crate::outbox::{AddressedPart, Outbox};
@@ -18,43 +19,44 @@
 
 pub use crate::outbox::{Recipient, Transmit};
 
-/// How many received rumors, and messages about leases, wait for the host.
+/// The maximum number of received rumors, and of received lease messages, queued for the host. More are dropped.
 const MAX_RECEIVED: usize = 256;
-/// How many received messages about zones wait for the host: all fronts of a zone may write to one.
+/// The maximum number of received zone messages queued for the host. All fronts of a zone may send to the same front.
 const MAX_RECEIVED_ZONE_MESSAGES: usize = 4_096;
-/// An item is sent so many times the logarithm of the number of fronts: all but a few in a million hear it.
+/// An item is sent this factor times the bit length of the number of fronts, that is, in proportion to its logarithm.
+/// All but a few fronts in a million then receive it.
 const RETRANSMIT_FACTOR: u32 = 3;
 
-/// What an engine is made from.
+/// The configuration of an [`Engine`].
 #[derive(Clone, Copy, Debug)]
 pub struct EngineConfig {
-    /// This front, in its present incarnation.
+    /// This front in its current incarnation.
     pub local: MemberId,
-    /// How many fronts are listed, this one among them.
+    /// The number of listed fronts, this one included.
     pub fleet_size: u32,
-    /// The number of this front's zone.
+    /// The number of this front's zone, if it has one.
     pub zone: Option<u32>,
-    /// How often this front speaks, and how much.
+    /// The protocol period and the send budget.
     pub gossip: GossipConfig,
-    /// The seed of all random draws.
+    /// The seed of the random generator.
     pub seed: u64,
 }
 
-/// A message of another layer, as received.
+/// A received message of a higher layer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedMessage {
-    /// Who sent it.
+    /// The sender.
     pub sender: MemberId,
-    /// Its bytes.
+    /// The encoded message.
     pub payload: Vec<u8>,
 }
 
-/// A rumor as known here.
+/// A rumor known to this front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RumorView<'a> {
-    /// What it says.
+    /// The contents.
     pub body: &'a [u8],
-    /// How long ago it was published.
+    /// The time since it was published.
     pub age: Span,
 }
 
@@ -73,11 +75,11 @@
 }
 
 impl Engine {
-    /// A front's part from its start on.
+    /// The state of a front at its start.
     pub fn new(config: EngineConfig, now: Moment) -> Engine {
         let EngineConfig { local, fleet_size, zone, gossip, seed } = config;
         let mut dissemination = Dissemination::default();
-        dissemination.enqueue(RumorSubject::Member(local.front));
+        dissemination.enqueue(ItemId::Member(local.front));
         Engine {
             local,
             members: Members::new(local, fleet_size, zone),
@@ -91,41 +93,42 @@
         }
     }
 
-    /// Stops pinging of this front's own accord. It still answers pings and sends what is handed in.
+    /// Stops the pings by which this front checks others. It still answers pings, relays pings that other fronts
+    /// request, and sends the messages and rumors of the host.
     pub fn set_passive(&mut self) {
         self.failure_detector.set_passive();
     }
 
-    /// This front, in its present incarnation.
+    /// This front in its current incarnation.
     pub fn local(&self) -> MemberId {
         self.local
     }
 
-    /// What is known of the other fronts.
+    /// What this front knows about the other fronts.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// What was sent, received and discarded.
+    /// The counters of sent, received and dropped datagrams and messages.
     pub fn stats(&self) -> GossipStats {
         self.stats
     }
 
-    // ---- Received ----
+    // ---- Receiving ----
 
-    /// Handles a datagram that came from the address at which `front` is listed.
+    /// Handles a datagram received from the address at which `front` is listed.
     pub fn handle_input(&mut self, now: Moment, front: u32, bytes: &[u8]) {
         let datagram = match wire::decode(bytes, front) {
             Ok(datagram) => datagram,
-            Err(error) => return self.count_refused(error),
+            Err(error) => return self.count_decode_error(error),
         };
         self.stats.datagrams_received += 1;
         self.stats.newer_version += u64::from(datagram.version > VERSION);
         self.stats.unknown_parts += u64::from(datagram.unknown_parts);
         if self.members.on_contact(datagram.sender, datagram.version, now) {
-            self.dissemination.enqueue(RumorSubject::Member(front));
+            self.dissemination.enqueue(ItemId::Member(front));
             if self.members.get(front).is_some_and(|view| view.state == MemberState::Suspect) {
-                // It was believed dead: it hears of that, and refutes it.
+                // The front was declared dead. It is notified so that it can refute that.
                 self.send_member_update(front);
             }
         }
@@ -134,7 +137,7 @@
         }
     }
 
-    fn count_refused(&mut self, error: DecodeError) {
+    fn count_decode_error(&mut self, error: DecodeError) {
         match error {
             DecodeError::TooLong(_) => self.stats.too_long += 1,
             DecodeError::Malformed => self.stats.malformed += 1,
@@ -173,7 +176,7 @@
 
     fn on_member_update(&mut self, now: Moment, update: &MemberUpdate) {
         if self.members.on_update(update, now) {
-            self.dissemination.enqueue(RumorSubject::Member(update.front));
+            self.dissemination.enqueue(ItemId::Member(update.front));
         }
     }
 
@@ -184,41 +187,41 @@
         }
     }
 
-    /// The next message about leases that was received.
+    /// The next received lease message.
     pub fn poll_lease_message(&mut self) -> Option<ReceivedMessage> {
         self.lease_messages.pop_front()
     }
 
-    /// The next message about zones that was received.
+    /// The next received zone message.
     pub fn poll_zone_message(&mut self) -> Option<ReceivedMessage> {
         self.zone_messages.pop_front()
     }
 
-    /// The id of the next rumor that was received; [`Engine::rumor`] has the rumor itself.
+    /// The identifier of the next received rumor, to be looked up by [`Engine::rumor`].
     pub fn poll_rumor(&mut self) -> Option<RumorId> {
         self.rumors.pop_front()
     }
 
-    /// A rumor as known here, published by this front or another.
+    /// The latest known revision of a rumor, published by this front or another.
     pub fn rumor(&self, now: Moment, id: RumorId) -> Option<RumorView<'_>> {
         let rumor = self.dissemination.get(id)?;
         Some(RumorView { body: &rumor.body, age: now.since(rumor.published_at) })
     }
 
-    // ---- Sent ----
+    // ---- Sending ----
 
-    /// Sends a message about leases to one front, within the budget.
+    /// Queues a lease message to one front, to be sent within the budget.
     pub fn send_lease_message(&mut self, front: u32, payload: Vec<u8>) {
         self.send_part(front, Kind::Lease(payload));
     }
 
-    /// Sends a message about zones, in a datagram of its own and before everything else, within the budget.
+    /// Queues a zone message, to be sent within the budget in a separate datagram, before all other queued messages.
     pub fn send_zone_message(&mut self, recipient: Recipient, payload: Vec<u8>) {
         self.outbox.push_zone_message(recipient, payload, &mut self.stats);
     }
 
-    /// Makes a rumor known to all fronts, with datagrams that are sent anyway. Its body has [`MAX_RUMOR_SIZE`] bytes at
-    /// most.
+    /// Publishes a rumor to all fronts. It is added to datagrams that are sent for other reasons. `body` has at most
+    /// [`MAX_RUMOR_SIZE`] bytes.
     pub fn publish_rumor(&mut self, now: Moment, id: RumorId, body: Vec<u8>) {
         debug_assert!(body.len() <= MAX_RUMOR_SIZE);
         self.dissemination.publish(id, body, now);
@@ -234,56 +237,57 @@
         }
     }
 
-    /// Tells a front what is believed of it.
+    /// Sends a front the state that others know of it.
     fn send_member_update(&mut self, front: u32) {
         if let Some(update) = self.members.update_for(front) {
             self.send_part(front, Kind::Member(update));
         }
     }
 
-    /// Does all that is due.
+    /// Runs the failure detector and queues the datagrams that are due.
     pub fn process(&mut self, now: Moment) {
-        if self.failure_detector.check_stall(now) {
+        if self.failure_detector.detect_stall(now) {
             self.members.restart_suspicions(now);
         }
-        self.failure_detector.drop_old_indirect_probes(now);
+        self.failure_detector.expire_indirect_probes(now);
         self.check_probe(now);
         let ping = self.failure_detector.next_ping(now, &self.members);
         self.send_parts(ping);
         let timeout = self.failure_detector.suspicion_timeout();
         for front in self.members.expire_suspicions(timeout, now) {
-            self.dissemination.enqueue(RumorSubject::Member(front));
+            self.dissemination.enqueue(ItemId::Member(front));
         }
         self.flush(now);
     }
 
-    /// Where an answer is late, others are asked to ping; where it stays away, the front is suspected.
+    /// Requests indirect pings if an answer is overdue, and suspects the front if the answer does not arrive in time.
     fn check_probe(&mut self, now: Moment) {
         let requests = self.failure_detector.request_indirect_pings(now, &self.members);
         self.send_parts(requests);
         let Some(front) = self.failure_detector.expire_probe(now) else { return };
         if self.members.suspect(front, now) {
-            self.dissemination.enqueue(RumorSubject::Member(front));
-            // The front hears of it first, and can refute it.
+            self.dissemination.enqueue(ItemId::Member(front));
+            // The suspected front is notified directly so that it can refute the suspicion.
             self.send_member_update(front);
         }
     }
 
-    /// Sends what waits, and fills each datagram up with rumors and member updates.
+    /// Encodes queued messages into datagrams within the budget, and fills each datagram with pending rumors and
+    /// member updates.
     fn flush(&mut self, now: Moment) {
         let Engine { outbox, dissemination, members, stats, .. } = self;
-        let limit = RETRANSMIT_FACTOR * (u32::BITS - members.fleet_size().leading_zeros());
+        let max_transmissions = RETRANSMIT_FACTOR * (u32::BITS - members.fleet_size().leading_zeros());
         outbox.flush(now, stats, |datagram| {
-            for subject in dissemination.pending() {
-                let part = match subject {
-                    RumorSubject::Member(front) => members.update_for(front).map(Kind::Member),
-                    RumorSubject::Rumor(id) => dissemination.message(id, now).map(Kind::Rumor),
+            for item in dissemination.pending() {
+                let part = match item {
+                    ItemId::Member(front) => members.update_for(front).map(Kind::Member),
+                    ItemId::Rumor(id) => dissemination.outgoing_rumor(id, now).map(Kind::Rumor),
                 };
                 let Some(part) = part else { continue };
                 if !datagram.try_push(part) {
                     break;
                 }
-                dissemination.on_sent(subject, limit);
+                dissemination.on_sent(item, max_transmissions);
             }
         });
     }
@@ -293,7 +297,7 @@
         self.outbox.pop_datagram()
     }
 
-    /// When [`Engine::process`] is due although no datagram came.
+    /// When [`Engine::process`] is due if no datagram arrives before.
     pub fn poll_timeout(&self) -> Option<Moment> {
         let detector_timeout = Some(self.failure_detector.poll_timeout());
         [detector_timeout, self.outbox.poll_timeout()].into_iter().flatten().min()
--- a/crates/ochrelead-gossip/src/failure_detector.rs
+++ b/crates/ochrelead-gossip/src/failure_detector.rs
@@ -1,5 +1,6 @@
-//! Pings, direct and on behalf of others, after SWIM; with Lifeguard's local health, by which a front that misses many
-//! answers doubts itself before others.
+//! SWIM failure detection by direct and indirect pings, with Lifeguard's local health multiplier: a front that misses
+//! answers or stalls lengthens its own timeouts, because the fault may be its own rather than that of the other
+//! fronts.
 
 use std::collections::BTreeMap;
 
@@ -11,32 +12,32 @@
 use crate::outbox::AddressedPart;
 use crate::schema::{Ack, Ping, PingRequest, part::Kind};
 
-/// How many others are asked to ping a front that does not answer.
+/// How many other fronts are requested to ping a front that does not answer.
 const INDIRECT_PINGS: usize = 2;
-/// The worst local health. Timeouts are one plus the local health times as long as those of a healthy front.
-const WORST_LOCAL_HEALTH: u32 = 8;
-/// How many pings on behalf of others may be open.
+/// The maximum of the local health multiplier.
+const MAX_HEALTH_MULTIPLIER: u32 = 8;
+/// The maximum number of unanswered pings on behalf of other fronts.
 const MAX_INDIRECT_PROBES: usize = 256;
-/// A suspicion can be refuted for so many protocol periods, by a healthy front's measure.
+/// The time to refute a suspicion, in protocol periods, at a front whose health multiplier is 0.
 const SUSPICION_PERIODS: u64 = 4;
-/// A front that was not run for so many protocol periods has stalled.
+/// A front counts as stalled if its failure detector did not run for this number of protocol periods.
 const STALL_PERIODS: u64 = 2;
 
-/// A ping of this front's own that waits for its answer.
+/// An unanswered ping by which this front checks another.
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     front: u32,
     sequence: u32,
     started_at: Moment,
-    /// Others were asked to ping too.
+    /// Whether other fronts were requested to ping as well.
     is_indirect: bool,
 }
 
-/// A ping that this front sent on behalf of another.
+/// An unanswered ping that this front sent on behalf of another.
 #[derive(Clone, Copy, Debug)]
 struct IndirectProbe {
     requester: u32,
-    /// The sequence number of the requester's own ping.
+    /// The sequence number of the requester's ping, which the relayed answer carries.
     requester_sequence: u32,
     started_at: Moment,
 }
@@ -47,16 +48,18 @@
     local: u32,
     protocol_period: Span,
     rng: Pcg64Mcg,
-    /// Whom to ping next: all others in random order, then in another one.
-    round: Vec<u32>,
+    /// The fronts still to be pinged in this round, in random order, the next one last. In each round, all other
+    /// fronts are pinged once.
+    ping_order: Vec<u32>,
     next_ping_at: Moment,
     probe: Option<Probe>,
     last_sequence: u32,
-    /// By the sequence number of this front's ping.
+    /// Keyed by the sequence number of this front's ping.
     indirect_probes: BTreeMap<u32, IndirectProbe>,
-    /// 0 is healthy.
-    local_health: u32,
-    /// It pings nobody of its own accord.
+    /// Lifeguard's local health multiplier, from 0 (healthy) to [`MAX_HEALTH_MULTIPLIER`]. Timeouts are multiplied by
+    /// one plus this value.
+    health_multiplier: u32,
+    /// A passive front sends pings only on behalf of others.
     is_passive: bool,
     last_processed_at: Moment,
 }
@@ -64,18 +67,18 @@
 impl FailureDetector {
     pub(crate) fn new(local: u32, protocol_period: Span, seed: u64, now: Moment) -> FailureDetector {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        // Fronts that start together do not ping in step.
+        // A random first ping keeps fronts that start together from pinging in step.
         let first_ping = Span::from_micros(rng.random_range(0..protocol_period.micros().max(1)));
         FailureDetector {
             local,
             protocol_period,
             rng,
-            round: Vec::new(),
+            ping_order: Vec::new(),
             next_ping_at: now + first_ping,
             probe: None,
             last_sequence: 0,
             indirect_probes: BTreeMap::new(),
-            local_health: 0,
+            health_multiplier: 0,
             is_passive: false,
             last_processed_at: now,
         }
@@ -85,14 +88,14 @@
         self.is_passive = true;
     }
 
-    /// How long a suspicion can be refuted.
+    /// How long a suspected front has to refute the suspicion.
     pub(crate) fn suspicion_timeout(&self) -> Span {
-        self.protocol_period * (SUSPICION_PERIODS * u64::from(1 + self.local_health))
+        self.protocol_period * (SUSPICION_PERIODS * u64::from(1 + self.health_multiplier))
     }
 
-    /// How long an answer is waited for; after half of it others are asked to ping.
+    /// How long a ping may remain unanswered. After half of this time other fronts are requested to ping.
     fn probe_timeout(&self) -> Span {
-        self.protocol_period / 2 * u64::from(1 + self.local_health)
+        self.protocol_period / 2 * u64::from(1 + self.health_multiplier)
     }
 
     fn next_sequence(&mut self) -> u32 {
@@ -100,7 +103,8 @@
         self.last_sequence
     }
 
-    /// Another front asks to ping a front on its behalf.
+    /// Handles a request to ping a front on behalf of `requester`. Returns the ping, `None` if the front is unknown or
+    /// too many such pings are unanswered.
     pub(crate) fn on_ping_request(
         &mut self,
         requester: u32,
@@ -119,7 +123,7 @@
         Some(AddressedPart { recipient: front, kind: Kind::Ping(Ping { sequence }) })
     }
 
-    /// An answer came. Returns what is passed on, where the ping was on behalf of another.
+    /// Handles an answer to a ping. Returns the answer to relay if the ping was sent on behalf of another front.
     pub(crate) fn on_ack(&mut self, sender: u32, ack: Ack) -> Option<AddressedPart> {
         let indirect = self.indirect_probes.remove(&ack.sequence);
         if let Some(indirect) = indirect.filter(|_| ack.relayed_from == 0) {
@@ -132,31 +136,32 @@
         };
         if self.probe.is_some_and(is_answer) {
             self.probe = None;
-            self.local_health = self.local_health.saturating_sub(1);
+            self.health_multiplier = self.health_multiplier.saturating_sub(1);
         }
         None
     }
 
-    /// Notes that the front runs. Returns whether it has stalled since the last time: what it missed then says nothing
-    /// of other fronts.
-    pub(crate) fn check_stall(&mut self, now: Moment) -> bool {
+    /// Records that the failure detector runs now. Returns whether this front stalled since the previous call. After a
+    /// stall, missing answers are no evidence against other fronts: the unanswered pings are dropped, and the health
+    /// multiplier is set to its maximum.
+    pub(crate) fn detect_stall(&mut self, now: Moment) -> bool {
         let has_stalled = now.since(self.last_processed_at) >= self.protocol_period * STALL_PERIODS;
         self.last_processed_at = now;
         if has_stalled {
             self.probe = None;
             self.indirect_probes.clear();
-            self.local_health = WORST_LOCAL_HEALTH;
+            self.health_multiplier = MAX_HEALTH_MULTIPLIER;
         }
         has_stalled
     }
 
-    /// Forgets pings on behalf of others that nobody waits for any more.
-    pub(crate) fn drop_old_indirect_probes(&mut self, now: Moment) {
+    /// Drops pings on behalf of others that are older than four times the probe timeout of a healthy requester.
+    pub(crate) fn expire_indirect_probes(&mut self, now: Moment) {
         let lifetime = self.protocol_period / 2 * 4;
         self.indirect_probes.retain(|_, probe| now.since(probe.started_at) < lifetime);
     }
 
-    /// Asks others to ping the front whose answer is late.
+    /// Requests other fronts to ping the front that has not answered within half of the probe timeout.
     pub(crate) fn request_indirect_pings(&mut self, now: Moment, members: &Members) -> Vec<AddressedPart> {
         let half_timeout = self.probe_timeout() / 2;
         let Some(probe) = &mut self.probe else { return Vec::new() };
@@ -165,24 +170,25 @@
         }
         probe.is_indirect = true;
         let Probe { front, sequence, .. } = *probe;
-        let mut helpers = members.live();
-        helpers.retain(|helper| *helper != self.local && *helper != front);
-        let count = INDIRECT_PINGS.min(helpers.len());
-        let mut draw_helper = || helpers.swap_remove(self.rng.random_range(0..helpers.len()));
+        let mut relays = members.live();
+        relays.retain(|relay| *relay != self.local && *relay != front);
+        let count = INDIRECT_PINGS.min(relays.len());
+        let mut draw_relay = || relays.swap_remove(self.rng.random_range(0..relays.len()));
         let request =
             |recipient| AddressedPart { recipient, kind: Kind::PingRequest(PingRequest { sequence, front }) };
-        (0..count).map(|_| request(draw_helper())).collect()
+        (0..count).map(|_| request(draw_relay())).collect()
     }
 
-    /// The front that has not answered in time.
+    /// The front that did not answer within the probe timeout; its probe is dropped.
     pub(crate) fn expire_probe(&mut self, now: Moment) -> Option<u32> {
         let timeout = self.probe_timeout();
         let probe = self.probe.take_if(|probe| now.since(probe.started_at) >= timeout)?;
-        self.local_health = (self.local_health + 1).min(WORST_LOCAL_HEALTH);
+        self.health_multiplier = (self.health_multiplier + 1).min(MAX_HEALTH_MULTIPLIER);
         Some(probe.front)
     }
 
-    /// The ping of this protocol period, where it is due.
+    /// The ping of this protocol period; `None` if it is not due, if another probe is open or if this front is
+    /// passive.
     pub(crate) fn next_ping(&mut self, now: Moment, members: &Members) -> Option<AddressedPart> {
         if now < self.next_ping_at {
             return None;
@@ -191,10 +197,10 @@
         if self.probe.is_some() || self.is_passive {
             return None;
         }
-        if self.round.is_empty() {
-            self.start_round(members.fleet_size());
+        if self.ping_order.is_empty() {
+            self.shuffle_ping_order(members.fleet_size());
         }
-        let front = self.round.pop()?;
+        let front = self.ping_order.pop()?;
         let sequence = self.next_sequence();
         if members.get(front).is_none_or(|view| view.state != MemberState::Dead) {
             self.probe = Some(Probe { front, sequence, started_at: now, is_indirect: false });
@@ -202,21 +208,21 @@
         Some(AddressedPart { recipient: front, kind: Kind::Ping(Ping { sequence }) })
     }
 
-    /// Shuffles all other fronts. Those that are dead or were never heard of are pinged too, so that a partition heals
-    /// and a fleet finds together.
-    fn start_round(&mut self, fleet_size: u32) {
-        self.round = (0..fleet_size).filter(|front| *front != self.local).collect();
-        for last in (1..self.round.len()).rev() {
+    /// Starts a round over all other fronts in random order. Dead fronts and fronts without any contact are included,
+    /// so that members rejoin after a partition and find each other when a fleet starts.
+    fn shuffle_ping_order(&mut self, fleet_size: u32) {
+        self.ping_order = (0..fleet_size).filter(|front| *front != self.local).collect();
+        for last in (1..self.ping_order.len()).rev() {
             let other = self.rng.random_range(0..=last);
-            self.round.swap(last, other);
+            self.ping_order.swap(last, other);
         }
     }
 
-    /// When something is due: at least once a period, so that a stall shows.
+    /// When the failure detector is next due, at least once per protocol period, so that stalls are detected.
     pub(crate) fn poll_timeout(&self) -> Moment {
         let timeout = self.probe_timeout();
-        let probe_due =
+        let probe_due_at =
             |probe: Probe| probe.started_at + if probe.is_indirect { timeout } else { timeout / 2 };
-        self.probe.map_or(self.next_ping_at, |probe| probe_due(probe).min(self.next_ping_at))
+        self.probe.map_or(self.next_ping_at, |probe| probe_due_at(probe).min(self.next_ping_at))
     }
 }
--- a/crates/ochrelead-gossip/src/lib.rs
+++ b/crates/ochrelead-gossip/src/lib.rs
@@ -1,20 +1,22 @@
-//! Gossip among the fronts of a fleet: who is alive, rumors for everybody, and a way for messages of other layers.
+//! Gossip among the fronts of a fleet: membership, rumors to all fronts, and transport for messages of higher layers.
 //!
-//! Membership follows SWIM with Lifeguard's extensions: each front pings one other in each protocol period, has others
-//! ping on its behalf where no answer comes, suspects before it declares dead, and lets a suspected front refute that.
-//! A front that stalled, or misses many answers, doubts itself before others.
+//! Membership follows SWIM with Lifeguard's extensions. Each front pings another one in each protocol period, and
+//! requests other fronts to ping on its behalf if no answer arrives. A front that does not answer is suspected before
+//! it is declared dead, and can refute the suspicion. A front that stalled or misses many answers lengthens its own
+//! timeouts.
 //!
-//! A front that hears nobody goes on alone: nothing here is needed for what one front decides by itself. No peer is
-//! trusted beyond bounded harm: a datagram counts only from the address that is listed for its sender; lengths, ranges
-//! and tables are bounded; and what it says of a third front changes only this front's view of that.
+//! A front that receives nothing from others keeps working: decisions that a front makes by itself do not depend on
+//! gossip. The effect of a faulty peer is bounded: a datagram is accepted only from the address listed for its sender;
+//! lengths, ranges and tables are bounded; and an update about a third front changes only this front's view of it.
 //!
-//! Parts:
+//! Modules:
 //!
-//! - [`engine`]: one front's part, without I/O.
-//! - [`members`]: the fronts and their states; `failure_detector`: pings, direct and indirect.
-//! - `dissemination`: rumors and member updates, added to datagrams that are sent anyway.
-//! - `outbox`: what waits to be sent, within a budget of datagrams.
-//! - [`wire`]: datagrams of at most 256 bytes, by the schema in `proto/gossip.proto`, with its rules for other versions.
+//! - [`engine`]: the state machine of one front, without I/O.
+//! - [`members`]: the fronts and their states; `failure_detector`: direct and indirect pings.
+//! - `dissemination`: rumors and member updates, added to datagrams that are sent for other reasons.
+//! - `outbox`: queued messages, and the budget of datagrams.
+//! - [`wire`]: datagrams of at most 256 bytes; `proto/gossip.proto` defines the schema and the rules for other
+//!   versions.
 //!
 //! ```
 //! use ochrelead_core::time::Moment;
@@ -29,13 +31,13 @@
 //!     seed: 7,
 //! };
 //! let now = Moment::from_micros(1_000_000);
-//! let (mut one, mut other) = (Engine::new(config(0), now), Engine::new(config(1), now));
-//! one.send_lease_message(1, b"a message".to_vec());
-//! one.process(now);
-//! let transmit = one.poll_output().unwrap();
+//! let (mut sender, mut receiver) = (Engine::new(config(0), now), Engine::new(config(1), now));
+//! sender.send_lease_message(1, b"a message".to_vec());
+//! sender.process(now);
+//! let transmit = sender.poll_output().unwrap();
 //! assert_eq!(transmit.recipient, Recipient::Front(1));
-//! other.handle_input(now, 0, &transmit.datagram);
-//! assert_eq!(other.poll_lease_message().unwrap().payload, b"a message");
+//! receiver.handle_input(now, 0, &transmit.datagram);
+//! assert_eq!(receiver.poll_lease_message().unwrap().payload, b"a message");
 //! ```
 
 #![warn(missing_docs)]
@@ -55,7 +57,7 @@
 pub use stats::GossipStats;
 pub use wire::VERSION;
 
-/// The schema's own types, as generated.
+/// The generated types of the Protobuf schema.
 #[allow(missing_docs, reason = "generated code; the schema file documents it")]
 pub mod schema {
     include!(concat!(env!("OUT_DIR"), "/ochrelead.gossip.rs"));
--- a/crates/ochrelead-gossip/src/members.rs
+++ b/crates/ochrelead-gossip/src/members.rs
@@ -1,4 +1,5 @@
-//! The fronts of the fleet and their states: SWIM's suspicion before death, which the suspected front can refute.
+//! The fronts of the fleet and their states. As in SWIM, a front is suspected before it is declared dead, and can
+//! refute the suspicion.
 
 use std::collections::BTreeMap;
 
@@ -7,23 +8,24 @@
 use crate::schema::MemberUpdate;
 use crate::wire::VERSION;
 
-/// A front in one of its incarnations: after each start it is another member.
+/// A front in one of its incarnations. After each start, a front is a new member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId {
     /// The front's number.
     pub front: u32,
-    /// Differs after each start of the front; 0 is none.
+    /// Changes with each start of the front; 0 stands for no incarnation.
     pub incarnation: u32,
 }
 
-/// What is believed of a front. A later state overrides an earlier one of the same incarnation and refutation.
+/// The state of a front as known to others. For the same incarnation and number of refutations, a later variant
+/// overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It was heard, or somebody heard it.
+    /// This front or another one has received a datagram from it.
     Alive,
-    /// It did not answer.
+    /// It did not answer pings.
     Suspect,
-    /// It did not refute a suspicion in time.
+    /// It did not refute a suspicion within the suspicion timeout.
     Dead,
 }
 
@@ -46,55 +48,57 @@
     }
 }
 
-/// What this front knows of another.
+/// What this front knows about another front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// Its latest incarnation.
+    /// The latest known incarnation.
     pub incarnation: u32,
-    /// What is believed of that.
+    /// The state of that incarnation.
     pub state: MemberState,
-    /// How many suspicions it refuted.
+    /// The number of suspicions that it has refuted.
     pub refutations: u32,
-    /// The version of the schema that it speaks.
+    /// The schema version that it uses.
     pub version: u32,
-    /// Its zone, where that is known.
+    /// The number of its zone, if known.
     pub zone: Option<u32>,
-    /// Since when it is in this state, by this front's clock.
+    /// When it entered this state, by this front's clock.
     pub since: Moment,
 }
 
-/// All fronts that were heard of, except this one.
+/// All fronts that this front knows of, except itself.
 #[derive(Clone, Debug)]
 pub struct Members {
     local: MemberId,
     fleet_size: u32,
     views: BTreeMap<u32, MemberView>,
-    /// How many suspicions this front refuted.
+    /// The number of suspicions that this front has refuted.
     refutations: u32,
     zone: Option<u32>,
 }
 
-/// The incarnation of a front that was never heard of: any other is later.
+/// The incarnation of a front without any contact; every other incarnation is later.
 const NO_INCARNATION: u32 = 0;
 
-/// Whether an incarnation came after another. They count up, and wrap.
-fn is_later(incarnation: u32, than: u32) -> bool {
-    let is_ahead = incarnation.wrapping_sub(than) < u32::MAX / 2;
-    incarnation != than && (than == NO_INCARNATION || is_ahead)
+/// Whether `incarnation` is later than `other`. Incarnations increase and wrap around, so they are compared by their
+/// distance, as serial numbers are.
+fn is_later(incarnation: u32, other: u32) -> bool {
+    let is_ahead = incarnation.wrapping_sub(other) < u32::MAX / 2;
+    incarnation != other && (other == NO_INCARNATION || is_ahead)
 }
 
 impl Members {
-    /// What a front knows at its start; `fleet_size` counts all listed fronts, this one among them.
+    /// The members that a front knows at its start: only itself. `fleet_size` is the number of listed fronts, this
+    /// one included.
     pub fn new(local: MemberId, fleet_size: u32, zone: Option<u32>) -> Members {
         Members { local, fleet_size, views: BTreeMap::new(), refutations: 0, zone }
     }
 
-    /// What is known of a front; `None` for this one, and for one that was never heard of.
+    /// What is known about a front; `None` for this front and for a front without any contact.
     pub fn get(&self, front: u32) -> Option<&MemberView> {
         self.views.get(&front)
     }
 
-    /// The fronts that were heard of and are not dead, this one among them, in order.
+    /// The known fronts that are not dead, including this one, in ascending order.
     pub fn live(&self) -> Vec<u32> {
         let live = self.views.iter().filter(|(_, view)| view.state != MemberState::Dead);
         let mut live: Vec<u32> = live.map(|(front, _)| *front).chain([self.local.front]).collect();
@@ -102,24 +106,24 @@
         live
     }
 
-    /// All listed fronts except those known to be dead. A front that was never heard of counts until it does not
-    /// answer, so that at a start all fronts come to the same list.
+    /// All listed fronts except those known to be dead. A front without any contact is included until it is declared
+    /// dead, so that all fronts derive the same list when the fleet starts.
     pub fn not_dead(&self) -> Vec<u32> {
         let is_dead = |front: &u32| self.get(*front).is_some_and(|view| view.state == MemberState::Dead);
         (0..self.fleet_size).filter(|front| !is_dead(front)).collect()
     }
 
-    /// All fronts that were heard of, except this one.
+    /// All known fronts except this one.
     pub fn iter(&self) -> impl Iterator<Item = (u32, &MemberView)> {
         self.views.iter().map(|(front, view)| (*front, view))
     }
 
-    /// How many fronts are listed.
+    /// The number of listed fronts.
     pub fn fleet_size(&self) -> u32 {
         self.fleet_size
     }
 
-    /// What this front says of itself.
+    /// The update that this front sends about itself.
     fn local_update(&self) -> MemberUpdate {
         MemberUpdate {
             front: self.local.front,
@@ -131,7 +135,7 @@
         }
     }
 
-    /// What this front says of a front, itself included; `None` where it knows nothing.
+    /// The update that this front sends about `front`, which may be itself; `None` if it does not know that front.
     pub fn update_for(&self, front: u32) -> Option<MemberUpdate> {
         if front == self.local.front {
             return Some(self.local_update());
@@ -147,7 +151,8 @@
         })
     }
 
-    /// A datagram came from a member: whatever is said of it, this incarnation is alive. Returns whether that is new.
+    /// Records a datagram from a member. Its incarnation is alive, whatever other fronts report about it. Returns
+    /// whether that changes the known state.
     pub fn on_contact(&mut self, member: MemberId, version: u32, now: Moment) -> bool {
         let MemberId { front, incarnation } = member;
         if front >= self.fleet_size || front == self.local.front {
@@ -158,7 +163,8 @@
         match self.views.get_mut(&front) {
             Some(view) if view.incarnation == incarnation => {
                 view.version = version;
-                // It has to refute a suspicion itself, so that those hear the refutation who heard the suspicion.
+                // The member must refute a suspicion itself, so that the refutation reaches all fronts that the
+                // suspicion has reached.
                 let was_dead = view.state == MemberState::Dead;
                 if was_dead {
                     (view.state, view.since) = (MemberState::Suspect, now);
@@ -169,7 +175,7 @@
                 *view = alive;
                 true
             }
-            // A delayed datagram of an earlier incarnation.
+            // A delayed datagram from an earlier incarnation.
             Some(_) => false,
             None => {
                 self.views.insert(front, alive);
@@ -178,8 +184,8 @@
         }
     }
 
-    /// Another front says something of a front. Returns whether it has to be sent on: it is new, or of this front
-    /// itself, which has to refute it.
+    /// Handles an update about a front from another one. Returns whether to disseminate that front's state: the
+    /// update is newer than what is known, or it concerns this front, which has to refute it.
     pub fn on_update(&mut self, update: &MemberUpdate, now: Moment) -> bool {
         let Some(state) = MemberState::from_wire(update.state) else { return false };
         if update.front >= self.fleet_size {
@@ -213,7 +219,7 @@
         is_newer
     }
 
-    /// Refutes what is said of this front, where it is a suspicion that was not refuted yet.
+    /// Refutes an update about this front if it reports a suspicion or death that is not refuted yet.
     fn refute(&mut self, update: &MemberUpdate, state: MemberState) -> bool {
         let is_refuted = update.incarnation == self.local.incarnation
             && state != MemberState::Alive
@@ -224,7 +230,7 @@
         is_refuted
     }
 
-    /// A front did not answer. Returns whether it was not suspected yet.
+    /// Suspects a front that did not answer. Returns whether it was neither suspected nor dead before.
     pub fn suspect(&mut self, front: u32, now: Moment) -> bool {
         match self.views.get_mut(&front) {
             Some(view) if view.state == MemberState::Alive => {
@@ -247,7 +253,7 @@
         }
     }
 
-    /// Declares those fronts dead that did not refute a suspicion in time, and returns them.
+    /// Declares all fronts dead whose suspicion was not refuted within `timeout`, and returns them.
     pub fn expire_suspicions(&mut self, timeout: Span, now: Moment) -> Vec<u32> {
         let mut dead = Vec::new();
         for (front, view) in &mut self.views {
@@ -259,7 +265,7 @@
         dead
     }
 
-    /// This front stalled: suspected fronts are given their whole time again.
+    /// Restarts the time to refute all current suspicions, after a stall of this front.
     pub fn restart_suspicions(&mut self, now: Moment) {
         for view in self.views.values_mut() {
             if view.state == MemberState::Suspect {
@@ -269,7 +275,7 @@
     }
 }
 
-/// A zone as sent: its number plus one, 0 for none.
+/// Encodes a zone as its number plus one; 0 stands for no zone.
 fn zone_to_wire(zone: Option<u32>) -> u32 {
     zone.map_or(0, |zone| zone + 1)
 }
--- a/crates/ochrelead-gossip/src/outbox.rs
+++ b/crates/ochrelead-gossip/src/outbox.rs
@@ -1,4 +1,4 @@
-//! What waits to be sent, and the budget of datagrams that bounds it.
+//! The queues of messages to send, and the budget that limits the number of datagrams.
 
 use std::collections::VecDeque;
 
@@ -10,78 +10,84 @@
 use crate::stats::GossipStats;
 use crate::wire::DatagramBuilder;
 
-/// How many parts, and how many messages about zones, wait for the budget.
+/// The maximum number of parts, and of zone messages, queued until the budget allows them to be sent.
 const MAX_QUEUED: usize = 256;
-/// The budget is counted in thousandths of a datagram.
-const DATAGRAM_COST: u64 = 1_000;
+/// The units of the send budget that one datagram takes: the budget counts thousandths of a datagram.
+const UNITS_PER_DATAGRAM: u64 = 1_000;
 
-/// Where a datagram goes.
+/// The recipient of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Recipient {
-    /// To one front.
+    /// One front.
     Front(u32),
-    /// To all other fronts.
+    /// All other fronts.
     All,
 }
 
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transmit {
-    /// Where it goes.
+    /// The recipient.
     pub recipient: Recipient,
-    /// Its bytes.
+    /// The encoded datagram.
     pub datagram: Vec<u8>,
 }
 
-/// A part for one front.
+/// A part of a datagram, with the front that it is sent to.
 #[derive(Clone, Debug)]
 pub(crate) struct AddressedPart {
     pub(crate) recipient: u32,
     pub(crate) kind: Kind,
 }
 
-/// A message about zones, which goes in a datagram of its own.
+/// A zone message, which is sent in a separate datagram.
 #[derive(Clone, Debug)]
 struct ZoneMessage {
     recipient: Recipient,
     payload: Vec<u8>,
 }
 
-/// A token bucket that holds one period's datagrams.
+/// A token bucket for datagrams, with the capacity of one protocol period.
 #[derive(Clone, Debug)]
 struct SendBudget {
     period: Span,
-    per_period: u64,
-    available: u64,
+    /// The units that are added in each period, and the capacity.
+    units_per_period: u64,
+    available_units: u64,
     refilled_at: Moment,
 }
 
 impl SendBudget {
     fn new(config: GossipConfig, now: Moment) -> SendBudget {
-        let per_period = u64::from(config.datagrams_per_period) * DATAGRAM_COST;
-        SendBudget { period: config.protocol_period, per_period, available: per_period, refilled_at: now }
+        let units_per_period = u64::from(config.datagrams_per_period) * UNITS_PER_DATAGRAM;
+        SendBudget {
+            period: config.protocol_period,
+            units_per_period,
+            available_units: units_per_period,
+            refilled_at: now,
+        }
     }
 
     fn refill(&mut self, now: Moment) {
         let elapsed = now.since(self.refilled_at).micros();
-        let earned = elapsed * self.per_period / self.period.micros().max(1);
-        if earned > 0 {
-            self.available = (self.available + earned).min(self.per_period);
+        let added_units = elapsed * self.units_per_period / self.period.micros().max(1);
+        if added_units > 0 {
+            self.available_units = (self.available_units + added_units).min(self.units_per_period);
             self.refilled_at = now;
         }
     }
 
-    fn has_datagram(&self) -> bool {
-        self.available >= DATAGRAM_COST
+    fn allows_datagram(&self) -> bool {
+        self.available_units >= UNITS_PER_DATAGRAM
     }
 
-    fn spend(&mut self) {
-        self.available -= DATAGRAM_COST;
+    fn take_datagram(&mut self) {
+        self.available_units -= UNITS_PER_DATAGRAM;
     }
 
-    /// When the next datagram is earned, at the latest.
+    /// The latest time at which the budget allows the next datagram.
     fn next_datagram_at(&self) -> Moment {
-        self.refilled_at + self.period / (self.per_period / DATAGRAM_COST).max(1)
+        self.refilled_at + self.period / (self.units_per_period / UNITS_PER_DATAGRAM).max(1)
     }
 }
 
@@ -91,9 +97,9 @@
     fleet_size: u32,
     budget: SendBudget,
     parts: VecDeque<AddressedPart>,
-    /// These go first.
+    /// Zone messages are sent before all parts.
     zone_messages: VecDeque<ZoneMessage>,
-    /// Datagrams that are within the budget.
+    /// Encoded datagrams, already counted against the budget.
     ready: VecDeque<Transmit>,
 }
 
@@ -109,7 +115,7 @@
         }
     }
 
-    /// Queues a part for another front. Where too many wait, the oldest is dropped.
+    /// Queues a part for another front. If the queue is full, drops the oldest part.
     pub(crate) fn push_part(&mut self, part: AddressedPart, stats: &mut GossipStats) {
         if part.recipient == self.local.front || part.recipient >= self.fleet_size {
             return;
@@ -121,7 +127,7 @@
         self.parts.push_back(part);
     }
 
-    /// Queues a message about zones. Where too many wait, the oldest is dropped.
+    /// Queues a zone message. If the queue is full, drops the oldest zone message.
     pub(crate) fn push_zone_message(
         &mut self,
         recipient: Recipient,
@@ -135,7 +141,8 @@
         self.zone_messages.push_back(ZoneMessage { recipient, payload });
     }
 
-    /// Makes datagrams of what waits, as far as the budget goes. `fill_up` adds to a datagram what it has room for.
+    /// Encodes queued messages into datagrams while the budget allows. `fill_up` adds further parts to each datagram
+    /// that carries parts.
     pub(crate) fn flush(
         &mut self,
         now: Moment,
@@ -143,10 +150,10 @@
         mut fill_up: impl FnMut(&mut DatagramBuilder),
     ) {
         self.budget.refill(now);
-        while self.budget.has_datagram()
+        while self.budget.allows_datagram()
             && let Some(ZoneMessage { recipient, payload }) = self.zone_messages.pop_front()
         {
-            self.budget.spend();
+            self.budget.take_datagram();
             let mut datagram = DatagramBuilder::new(self.local);
             if datagram.try_push(Kind::Zone(payload)) {
                 self.push_datagram(recipient, &datagram, stats);
@@ -154,15 +161,15 @@
                 stats.messages_dropped += 1;
             }
         }
-        while self.budget.has_datagram()
+        while self.budget.allows_datagram()
             && let Some(AddressedPart { recipient, kind }) = self.parts.pop_front()
         {
-            self.budget.spend();
+            self.budget.take_datagram();
             let mut datagram = DatagramBuilder::new(self.local);
             if !datagram.try_push(kind) {
                 stats.messages_dropped += 1;
             }
-            // What else waits for the same front goes along.
+            // Further parts for the same front share the datagram, as far as they fit.
             self.parts.retain(|part| part.recipient != recipient || !datagram.try_push(part.kind.clone()));
             fill_up(&mut datagram);
             self.push_datagram(Recipient::Front(recipient), &datagram, stats);
@@ -184,7 +191,7 @@
         self.ready.pop_front()
     }
 
-    /// When the budget allows for more of what waits.
+    /// When the budget allows the next datagram; `None` if no message is queued.
     pub(crate) fn poll_timeout(&self) -> Option<Moment> {
         let is_empty = self.parts.is_empty() && self.zone_messages.is_empty();
         (!is_empty).then(|| self.budget.next_datagram_at())
--- a/crates/ochrelead-gossip/src/wire.rs
+++ b/crates/ochrelead-gossip/src/wire.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of datagrams.
+//! The encoding of datagrams.
 
 use prost::Message as _;
 use thiserror::Error;
@@ -6,28 +6,28 @@
 use crate::members::MemberId;
 use crate::schema::{Datagram, Part, part::Kind};
 
-/// The version of the schema that this program speaks.
+/// The schema version that this program sends.
 pub const VERSION: u32 = 2;
 
-/// The longest datagram, in bytes.
+/// The maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_SIZE: usize = 256;
 
 /// Why a datagram is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 #[non_exhaustive]
 pub enum DecodeError {
-    /// Longer than allowed.
-    #[error("{0} bytes, and {MAX_DATAGRAM_SIZE} are allowed")]
+    /// The datagram is longer than [`MAX_DATAGRAM_SIZE`].
+    #[error("datagram has {0} bytes; at most {MAX_DATAGRAM_SIZE} are allowed")]
     TooLong(usize),
-    /// Not a datagram of this schema.
-    #[error("malformed")]
+    /// The bytes are not a datagram of the schema, or its version is 0.
+    #[error("datagram cannot be decoded, or its schema version is 0")]
     Malformed,
-    /// It claims to be from another front than the one listed at its address.
-    #[error("claims to be from front {claimed}, and came from the address of front {listed}")]
+    /// The datagram names another sender than the front that is listed at its source address.
+    #[error("datagram names front {claimed} as its sender but came from the address of front {listed}")]
     WrongSender {
-        /// The front that the datagram names.
+        /// The sender that the datagram names.
         claimed: u32,
-        /// The front at whose address it came.
+        /// The front that is listed at the source address.
         listed: u32,
     },
 }
@@ -35,21 +35,21 @@
 /// A decoded datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedDatagram {
-    /// Who sent it.
+    /// The sender.
     pub sender: MemberId,
-    /// The version of the schema that the sender speaks.
+    /// The schema version of the sender.
     pub version: u32,
-    /// Its parts, of known kinds.
+    /// The parts of known kinds.
     pub parts: Vec<Kind>,
-    /// How many more parts it had, of kinds that this program does not know.
+    /// The number of parts of unknown kinds, which are skipped.
     pub unknown_parts: u32,
 }
 
-/// Decodes a datagram that came from the address at which `front` is listed.
+/// Decodes a datagram received from the address at which `front` is listed.
 ///
 /// # Errors
 ///
-/// Where it is too long, malformed, or another front's.
+/// If the datagram is too long, malformed, or names another sender than `front`.
 pub fn decode(bytes: &[u8], front: u32) -> Result<ReceivedDatagram, DecodeError> {
     if bytes.len() > MAX_DATAGRAM_SIZE {
         return Err(DecodeError::TooLong(bytes.len()));
@@ -72,7 +72,7 @@
     Ok(ReceivedDatagram { sender, version: datagram.version, parts, unknown_parts })
 }
 
-/// A datagram under construction, which never grows beyond [`MAX_DATAGRAM_SIZE`].
+/// Builds a datagram of at most [`MAX_DATAGRAM_SIZE`] bytes.
 #[derive(Clone, Debug)]
 pub struct DatagramBuilder {
     datagram: Datagram,
@@ -88,11 +88,11 @@
         DatagramBuilder { datagram, encoded_size }
     }
 
-    /// Adds a part, where there is room for it. Returns whether it was added.
+    /// Adds a part if it fits. Returns whether it was added.
     pub fn try_push(&mut self, kind: Kind) -> bool {
         let part = Part { kind: Some(kind) };
         let part_size = part.encoded_len();
-        // The field's key, and a length of one or two bytes.
+        // The field key takes one byte, and the length one or two.
         let framing = if part_size < 128 { 2 } else { 3 };
         if self.encoded_size + framing + part_size > MAX_DATAGRAM_SIZE {
             return false;
@@ -102,12 +102,12 @@
         true
     }
 
-    /// Whether it has no parts yet.
+    /// Whether the datagram has no parts yet.
     pub fn is_empty(&self) -> bool {
         self.datagram.parts.is_empty()
     }
 
-    /// The datagram as bytes.
+    /// Encodes the datagram.
     pub fn encode(&self) -> Vec<u8> {
         self.datagram.encode_to_vec()
     }
