--- a/crates/ochrelead-lease/tests/codec.rs
+++ b/crates/ochrelead-lease/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Lease messages: encoded and decoded; other bytes are refused or harmless.
+//! Encoding and decoding of lease messages; invalid bytes are refused.
 
 use ochrelead_core::time::Span;
 use ochrelead_lease::codec::{decode, encode};
@@ -36,17 +36,17 @@
 #[test_case(&Message::Released { task: TaskId(7) })]
 #[test_case(&Message::TokenQuery)]
 #[test_case(&Message::TokenReport { task: TaskId(7), token: TOKEN })]
-fn a_message_is_decoded_as_it_was_encoded(message: &Message) {
+fn decoding_an_encoded_message_returns_the_same_message(message: &Message) {
     let bytes = encode(message);
     assert_eq!(decode(&bytes).as_ref(), Some(message));
-    assert!(bytes.len() <= 80, "{} bytes", bytes.len());
+    assert!(bytes.len() <= 80, "message has {} bytes", bytes.len());
 }
 
-#[test_case(&[0x09, 7, 0, 0, 0, 0, 0, 0, 0, 0x7a, 2, 8, 1]; "of an unknown kind")]
+#[test_case(&[0x09, 7, 0, 0, 0, 0, 0, 0, 0, 0x7a, 2, 8, 1]; "unknown kind")]
 #[test_case(&[0x09, 7]; "truncated")]
 #[test_case(&[]; "empty")]
-#[test_case(&encode(&Message::TokenReport { task: TaskId(7), token: FencingToken { counter: MAX_COUNTER + 1, holder: MEMBER } }); "an implausible token")]
-fn other_bytes_are_no_message(bytes: &[u8]) {
+#[test_case(&encode(&Message::TokenReport { task: TaskId(7), token: FencingToken { counter: MAX_COUNTER + 1, holder: MEMBER } }); "token counter out of range")]
+fn invalid_bytes_are_not_decoded(bytes: &[u8]) {
     assert_eq!(decode(bytes), None);
 }
 
--- a/crates/ochrelead-lease/tests/persistence.rs
+++ b/crates/ochrelead-lease/tests/persistence.rs
@@ -1,4 +1,4 @@
-//! A voter's stored promises: encoded, decoded, and refused where they can't be used.
+//! Encoding and decoding of a voter's stored state, and the errors for state that is refused.
 
 use ochrelead_lease::persistence::{PersistedPromise, PersistedState, PersistedVote, RestoreError};
 use ochrelead_lease::{FencingToken, MemberId, TaskId, schema};
@@ -18,18 +18,26 @@
 }
 
 #[test]
-fn state_is_decoded_as_it_was_encoded() {
+fn decoding_encoded_state_returns_the_same_state() {
     assert_eq!(PersistedState::decode(&state().encode(5), 5), Ok(state()));
 }
 
 #[test]
-fn a_flipped_bit_and_a_truncated_file_are_refused() {
+fn state_with_a_flipped_bit_or_a_missing_end_is_refused() {
     let bytes = state().encode(5);
     for index in 0..bytes.len() {
         let mut flipped = bytes.clone();
         flipped[index] ^= 1;
-        assert_eq!(PersistedState::decode(&flipped, 5), Err(RestoreError::Corrupt), "byte {index}");
-        assert_eq!(PersistedState::decode(&bytes[..index], 5), Err(RestoreError::Corrupt), "{index} bytes");
+        assert_eq!(
+            PersistedState::decode(&flipped, 5),
+            Err(RestoreError::Corrupt),
+            "bit flipped in byte {index}"
+        );
+        assert_eq!(
+            PersistedState::decode(&bytes[..index], 5),
+            Err(RestoreError::Corrupt),
+            "truncated to {index} bytes"
+        );
     }
 }
 
--- a/crates/ochrelead-lease/tests/stored_bytes.rs
+++ b/crates/ochrelead-lease/tests/stored_bytes.rs
@@ -1,5 +1,5 @@
-//! A voter's promises on a disk and one message of each kind, as written by an earlier program: read, and written again
-//! byte for byte.
+//! Compatibility with stored bytes: a voter's state on disk and one message of each kind, as an earlier version
+//! encoded them, are decoded to the expected values and encoded to the same bytes.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -21,7 +21,7 @@
     fs::read(fixture(name)).unwrap()
 }
 
-fn promises() -> PersistedState {
+fn voter_state() -> PersistedState {
     let promise = PersistedPromise { candidate: MEMBER, round: 1 << 40 };
     let votes = vec![
         PersistedVote { task: TaskId(u64::MAX), promise: Some(promise), highest_token: TOKEN },
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn promises_are_read_and_written_as_they_were_stored() {
+fn stored_voter_state_is_decoded_and_encoded_to_the_same_bytes() {
     let stored = stored("promises");
-    assert_eq!(PersistedState::decode(&stored, 5), Ok(promises()));
-    assert_eq!(promises().encode(5), stored);
+    assert_eq!(PersistedState::decode(&stored, 5), Ok(voter_state()));
+    assert_eq!(voter_state().encode(5), stored);
 }
 
 fn messages() -> Vec<Message> {
@@ -71,10 +71,10 @@
 }
 
 #[test]
-fn each_message_is_read_and_written_as_it_was_stored() {
-    let written: String = messages().iter().map(|message| hex(&encode(message)) + "\n").collect();
+fn each_stored_message_is_decoded_and_encoded_to_the_same_bytes() {
+    let encoded: String = messages().iter().map(|message| hex(&encode(message)) + "\n").collect();
     let stored = String::from_utf8(stored("messages.hex")).unwrap();
-    assert_eq!(written, stored);
+    assert_eq!(encoded, stored);
     for (line, message) in stored.lines().zip(messages()) {
         let byte = |start: usize| u8::from_str_radix(&line[start..start + 2], 16).unwrap();
         let bytes: Vec<u8> = (0..line.len()).step_by(2).map(byte).collect();
