--- a/crates/ochrelead-gossip/tests/stored_bytes.rs
+++ b/crates/ochrelead-gossip/tests/stored_bytes.rs
@@ -1,4 +1,5 @@
-//! One datagram of each kind, as written by an earlier program: read, and written again byte for byte.
+//! Compatibility with stored bytes: a datagram with each kind of part, as an earlier version encoded it, is decoded
+//! to the expected parts and encoded to the same bytes.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -38,15 +39,16 @@
     ]
 }
 
+/// A datagram for each part, then one with all parts.
 fn datagrams() -> Vec<Vec<u8>> {
-    let mut all = DatagramBuilder::new(SENDER);
-    let single = |part: Kind| {
-        let mut one = DatagramBuilder::new(SENDER);
-        assert!(one.try_push(part.clone()) && all.try_push(part));
-        one.encode()
+    let mut with_all_parts = DatagramBuilder::new(SENDER);
+    let encode_single = |part: Kind| {
+        let mut with_one_part = DatagramBuilder::new(SENDER);
+        assert!(with_one_part.try_push(part.clone()) && with_all_parts.try_push(part));
+        with_one_part.encode()
     };
-    let mut datagrams: Vec<Vec<u8>> = parts().into_iter().map(single).collect();
-    datagrams.push(all.encode());
+    let mut datagrams: Vec<Vec<u8>> = parts().into_iter().map(encode_single).collect();
+    datagrams.push(with_all_parts.encode());
     datagrams
 }
 
@@ -55,12 +57,12 @@
 }
 
 #[test]
-fn each_datagram_is_read_and_written_as_it_was_stored() {
-    let written: String = datagrams().iter().map(|datagram| hex(datagram) + "\n").collect();
+fn each_stored_datagram_is_decoded_and_encoded_to_the_same_bytes() {
+    let encoded: String = datagrams().iter().map(|datagram| hex(datagram) + "\n").collect();
     let stored = fs::read_to_string(fixture()).unwrap();
-    assert_eq!(written, stored);
-    let single = parts().into_iter().map(|part| vec![part]);
-    for (line, parts) in stored.lines().zip(single.chain([parts()])) {
+    assert_eq!(encoded, stored);
+    let single_parts = parts().into_iter().map(|part| vec![part]);
+    for (line, parts) in stored.lines().zip(single_parts.chain([parts()])) {
         let byte = |start: usize| u8::from_str_radix(&line[start..start + 2], 16).unwrap();
         let bytes: Vec<u8> = (0..line.len()).step_by(2).map(byte).collect();
         let decoded = decode(&bytes, 3).unwrap();
--- a/crates/ochrelead-gossip/tests/wire.rs
+++ b/crates/ochrelead-gossip/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams: their length, other versions, other senders, and other bytes.
+//! Encoding and decoding of datagrams: maximum size, other schema versions, wrong senders and invalid bytes.
 
 use ochrelead_gossip::schema::{Datagram, Part, Ping, part::Kind};
 use ochrelead_gossip::wire::{DatagramBuilder, DecodeError, MAX_DATAGRAM_SIZE, decode};
@@ -22,22 +22,23 @@
         added += 1;
     }
     let bytes = builder.encode();
-    assert!(bytes.len() <= MAX_DATAGRAM_SIZE && bytes.len() > 150, "{}", bytes.len());
+    assert!(bytes.len() <= MAX_DATAGRAM_SIZE && bytes.len() > 150, "{} bytes", bytes.len());
     let decoded = decode(&bytes, 3).unwrap();
     assert_eq!((decoded.sender, decoded.parts.len(), decoded.unknown_parts), (LOCAL, added, 0));
 }
 
-#[test_case(&datagram(1, 3), 4, DecodeError::WrongSender { claimed: 3, listed: 4 }; "of another sender")]
-#[test_case(&datagram(0, 3), 3, DecodeError::Malformed; "of no version")]
+#[test_case(&datagram(1, 3), 4, DecodeError::WrongSender { claimed: 3, listed: 4 }; "from another sender")]
+#[test_case(&datagram(0, 3), 3, DecodeError::Malformed; "of version 0")]
 #[test_case(&[8; 257], 3, DecodeError::TooLong(257); "too long")]
-#[test_case(&[0xff; 40], 3, DecodeError::Malformed; "noise")]
-fn a_datagram_is_refused(bytes: &[u8], front: u32, error: DecodeError) {
+#[test_case(&[0xff; 40], 3, DecodeError::Malformed; "not a datagram")]
+fn an_invalid_datagram_is_refused(bytes: &[u8], front: u32, error: DecodeError) {
     assert_eq!(decode(bytes, front), Err(error));
 }
 
-/// A newer front's datagram: its version, a field and a kind of part that do not exist yet.
+/// A datagram of a newer schema version, with an unknown field and a part of an unknown kind, is decoded except for
+/// these.
 #[test]
-fn a_newer_version_is_read_as_far_as_it_is_known() {
+fn a_datagram_of_a_newer_version_is_decoded_without_its_unknown_parts() {
     let mut bytes = datagram(VERSION + 1, 3);
     bytes.extend([0x22, 3, 0xfa, 0x01, 0]);
     bytes.extend([0x78, 9]);
