--- a/crates/ochrelead-front/src/arguments.rs
+++ b/crates/ochrelead-front/src/arguments.rs
@@ -4,9 +4,9 @@
 
 use clap::{Args, Parser, Subcommand};
 
-/// A front: takes sessions from callers' gateways over MGCP and sets them up at signalling servers.
+/// A front: accepts sessions from callers' gateways over MGCP and sets them up at signalling servers.
 ///
-/// SIGTERM makes it leave service: no new sessions, each held one gets its final answer.
+/// On SIGTERM the front drains: it rejects new sessions, gives each held session its final answer, and exits.
 #[derive(Parser)]
 #[command(
     version,
@@ -19,70 +19,70 @@
 pub(crate) struct Arguments {
     #[command(subcommand)]
     pub(crate) command: Option<Command>,
-    /// The settings, in protobuf text format (schema Front)
+    /// The settings file, in protobuf text format (schema Front)
     #[arg(long, value_name = "FILE", required = true)]
     pub(crate) settings: Option<PathBuf>,
-    /// A fleet file, or a folder of them, that is watched; without, the settings' servers are the list
+    /// A file that lists the servers, or a folder of such files, watched for changes; replaces the settings' servers
     #[arg(long, value_name = "PATH")]
     pub(crate) fleet: Option<PathBuf>,
-    /// Where the last list, the status and the counters are kept
+    /// The folder for the last server list, the status and the counters
     #[arg(long, value_name = "DIR")]
     pub(crate) state: Option<PathBuf>,
-    /// Where the event log goes
+    /// The folder for the event log
     #[arg(long, value_name = "DIR")]
     pub(crate) records: Option<PathBuf>,
-    /// Check the settings and stop
+    /// Check the settings and exit
     #[arg(long)]
     pub(crate) check: bool,
-    /// The seed of the decisions' chance; another at each start where none is given
+    /// The seed of the random decisions [default: the time of the start, in microseconds]
     #[arg(long)]
     pub(crate) seed: Option<u64>,
-    /// What is logged: error, warn, info, or per part as in ochrelead_front=warn
+    /// The log level: error, warn or info, or a level per module, for example ochrelead_front=warn
     #[arg(long, default_value = "warn")]
     pub(crate) log: String,
-    /// Log lines as JSON
+    /// Write log lines as JSON
     #[arg(long)]
     pub(crate) json: bool,
 }
 
-/// What a node does with its peers.
+/// The options for a node's coordination with its peers.
 #[derive(Args)]
 pub(crate) struct PeerOptions {
-    /// Speak to the other fronts that the configuration lists, where its settings allow it
+    /// Exchange messages with the other fronts that the configuration lists, if its settings allow it
     #[arg(long)]
     pub(crate) peers: bool,
-    /// Act with the fronts of its district where a district fails: leave it, and return step by step
+    /// Coordinate with the other fronts of its zone: move calls away from a zone that fails, and back step by step
     #[arg(long)]
     pub(crate) districts: bool,
-    /// Where its promises as a voter are kept, and how its tasks stand is written; without, it abstains after each start
+    /// The folder for the voter's promises and the status; without it, the voter abstains after each start
     #[arg(long, value_name = "DIR", requires = "peers")]
     pub(crate) state: Option<PathBuf>,
-    /// Who votes, by their numbers among the peers; five spread over the fronts where none is named
+    /// The voters, by their numbers among the peers; by default five, evenly spaced over the fronts
     #[arg(long, value_name = "NUMBERS", value_delimiter = ',', requires = "peers")]
     pub(crate) voters: Vec<u32>,
-    /// While it changes: who voted before
+    /// The previous voters, while the set of voters is being changed
     #[arg(long, value_name = "NUMBERS", value_delimiter = ',', requires = "voters")]
     pub(crate) former_voters: Vec<u32>,
-    /// Raised by one with each change of the voters
+    /// The generation of the set of voters; increase it by one with each change of the voters
     #[arg(long, value_name = "N", default_value_t = 1, requires = "peers")]
     pub(crate) generation: u32,
 }
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Print what a running front last wrote of its fleet: a line a server, its state and why
+    /// Print the last status that a running front has written: a line per server, with its state and the reason for it
     Status {
         #[arg(long, value_name = "DIR")]
         state: PathBuf,
     },
-    /// Serve as a front of the operators' platform: JSON lines from callers, SIP to signalling servers
+    /// Run a front of the operators' platform: JSON lines from callers, SIP to signalling servers
     Node {
-        /// The platform's configuration
+        /// The platform's configuration file
         #[arg(long, value_name = "FILE", env = "ROUTER_CONFIG")]
         config: PathBuf,
         #[command(flatten)]
         options: PeerOptions,
-        /// What is logged, as for a front
+        /// The log level, as for a front
         #[arg(long, default_value = "info")]
         log: String,
     },
--- a/crates/ochrelead-front/src/drain.rs
+++ b/crates/ochrelead-front/src/drain.rs
@@ -1,25 +1,25 @@
-//! Leaving service: no new session is accepted, each held one gets its final answer or stays established, and the wait
-//! is bounded.
+//! The drain of a front: no new session is accepted, each held session without a final answer gets one, and the
+//! duration is bounded.
 
 use ochrelead_core::time::{Moment, Span};
 
 /// Whether a front is in service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DrainState {
-    /// It accepts sessions.
+    /// The front accepts sessions.
     #[default]
     InService,
-    /// It accepts no sessions any more.
+    /// The front accepts no new sessions.
     Draining {
-        /// Sessions without an answer fail at this moment.
+        /// The time at which sessions without a final answer fail.
         until: Moment,
     },
-    /// Nothing is left to do.
+    /// The drain has finished.
     Closed,
 }
 
 impl DrainState {
-    /// Starts to drain. A second request changes nothing: the bound holds from the first.
+    /// Starts to drain. A second request changes nothing: the bound runs from the first.
     pub fn start(&mut self, now: Moment, bound: Span) {
         if *self == DrainState::InService {
             *self = DrainState::Draining { until: now + bound };
@@ -31,13 +31,14 @@
         self == DrainState::InService
     }
 
-    /// Whether the bound has passed: sessions without an answer have to fail now.
+    /// Whether the bound has passed, so that sessions without a final answer must fail.
     pub fn is_overdue(self, now: Moment) -> bool {
         matches!(self, DrainState::Draining { until } if now >= until)
     }
 
-    /// Closes once nothing is `unfinished` (sessions without a final answer, and commands without a response), or a
-    /// second bound after the first has passed: a peer that never responds must not hold the process.
+    /// Closes when `unfinished` is 0 (the number of sessions without a final answer, commands without a response and
+    /// scheduled releases), or when twice the bound has passed: a peer that never responds must not keep the process
+    /// running.
     pub fn update(&mut self, now: Moment, unfinished: usize, bound: Span) {
         if let DrainState::Draining { until } = *self
             && (unfinished == 0 || now >= until + bound)
@@ -46,7 +47,7 @@
         }
     }
 
-    /// When the state may change by itself.
+    /// When the state may change without further input.
     pub fn poll_timeout(self, now: Moment, bound: Span) -> Option<Moment> {
         match self {
             DrainState::Draining { until } if until > now => Some(until),
--- a/crates/ochrelead-front/src/engine.rs
+++ b/crates/ochrelead-front/src/engine.rs
@@ -1,10 +1,12 @@
-//! The front's engine: from datagrams in to datagrams out, without I/O.
+//! The front's engine: turns received datagrams into datagrams to send, without I/O.
 //!
-//! The way of a session: a gateway's NTFY is parsed (`caller_side`) and its call request handed to the policy; the
-//! policy's INVITE becomes a CRCX on a server's trunk group (`server_side`); the server's 200 becomes the caller's MDCX,
-//! its failure goes back to the policy; the policy's rejection or failure becomes the caller's busy or reorder tone.
-//! What the host hands in only updates state; [`Engine::process`] then carries out decisions until there is none left.
-//! `transactions` dispatches what the MGCP transaction layer reports, `call_table` holds the sessions.
+//! A session passes through these steps. A gateway's NTFY is parsed (`caller_side`) and passed to the policy as a call
+//! request. An INVITE that the policy decides on is sent as a CRCX on a server's trunk group (`server_side`). If the
+//! server answers 200, the caller is connected by an MDCX; an error response is reported to the policy. If the policy
+//! rejects or fails the session, the caller hears a busy or a reorder tone.
+//!
+//! The input methods update state only; [`Engine::process`] then executes the policy's decisions until none is left.
+//! `transactions` dispatches the events of the MGCP transaction layer, and `call_table` stores the sessions.
 
 mod call_table;
 mod caller_side;
@@ -32,25 +34,26 @@
 use call_table::{CallTable, Phase};
 use transactions::PendingCommand;
 
-/// Called numbers that are remembered at once: a flood of new ones evicts the oldest.
+/// Capacity of the table of called numbers; a new number evicts the one that was called longest ago.
 const MAX_CALLED_NUMBERS: usize = 65_536;
-/// Attempts whose hang-up came without a session, remembered at once.
+/// Capacity of the table of attempts whose hang-up was received while this front held no session of them.
 const MAX_ENDED_ATTEMPTS: usize = 16_384;
-/// A turn that is late by this part of the shortest post-dial target is reported as a stall. An idle front looks at the
-/// clock as often: otherwise it could not tell that it stood still.
-const TURNS_PER_TARGET: u64 = 6;
-/// By what share of the answer margin a busy machine's clock may be late; beyond it, input may have been unread since
-/// the last turn. Less than the margin, or an answer that is in time by this clock is late for its caller.
-const LATE_SHARE: f64 = 0.8;
-/// Events that wait for the host; further ones are dropped, the sessions go on.
-const MAX_EVENTS: usize = 65_536;
-
-/// How much the engine holds.
+/// A stall is reported when a call of [`Engine::process`] is late by more than the shortest post-dial target divided by
+/// this number. An idle front is called at this interval too, or it could not detect a stall.
+const STALL_CHECKS_PER_TARGET: u64 = 6;
+/// The share of the answer margin by which a call of the engine may be late on a busy machine. If it is later, input is
+/// taken to have been unread since the last call of [`Engine::process`]. The share is below 1, because an answer that
+/// is in time by the front's clock would otherwise reach its caller after the deadline.
+const TOLERATED_LATENESS_SHARE: f64 = 0.8;
+/// Length of the queue of events for the host. When it is full, new events are dropped; sessions are not affected.
+const MAX_QUEUED_EVENTS: usize = 65_536;
+
+/// The number of sessions and open commands that the engine holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Sessions, with a final answer or not.
+    /// Sessions, both with and without a final answer.
     pub sessions: usize,
-    /// Commands that wait for a response.
+    /// Commands that have been sent and not answered.
     pub open_commands: usize,
 }
 
@@ -59,13 +62,13 @@
 pub struct ServerReport {
     /// The name of the server.
     pub name: String,
-    /// What the policy knows of it.
+    /// The policy's state of the server.
     pub snapshot: ServerSnapshot,
-    /// Since when nothing was heard of it; none where nothing ever was.
+    /// The time since the last message of the server; `None` if none was ever received.
     pub silent_for: Option<Span>,
 }
 
-/// A front without I/O.
+/// A front's state machine, without I/O.
 pub struct Engine {
     config: FrontConfig,
     policy: Box<dyn CallPolicy + Send>,
@@ -75,25 +78,26 @@
     server_table: ServerTable,
     called_numbers: CalledNumberTable,
     pending_commands: HashMap<TransactionId, PendingCommand>,
-    /// Attempts that have ended, though this front holds no session of them: nothing is set up for them any more.
+    /// Attempts whose hang-up was received while no session of them was held. No call is set up for these attempts.
     ended_attempts: RecentIds,
     releases: PendingReleases,
     drain_state: DrainState,
-    /// The longest time between two turns.
-    max_turn_gap: Span,
+    /// The longest time between two calls of [`Engine::process`]; a call that is later by more than this is a stall.
+    max_process_interval: Span,
     events: VecDeque<EngineEvent>,
     next_timeout: Option<Moment>,
-    last_turn: Moment,
-    /// How long input that is read now may have been unread.
+    last_processed: Moment,
+    /// The longest time for which the input that is read now may have waited unread.
     input_delay: Span,
-    /// When anything was last heard of each server.
+    /// When the last message of each server was received.
     last_heard: Vec<Option<Moment>>,
-    /// The line capacity of each server that was last reported as an event.
+    /// The line capacity that was last reported as an event, per server.
     sampled_lines: Vec<Option<LineCapacity>>,
 }
 
 impl Engine {
-    /// A front in service. Its transaction ids begin at `first_transaction`, which has to be another at each start.
+    /// Creates a front in service. Its transaction ids begin at `first_transaction`, which must differ at each start:
+    /// servers store their responses by transaction id.
     pub fn new(
         config: FrontConfig,
         policy: Box<dyn CallPolicy + Send>,
@@ -102,7 +106,7 @@
     ) -> Engine {
         let endpoints = config.servers.clone();
         let targets = config.controller.services.iter().map(|service| service.post_dial_target);
-        let max_turn_gap = targets.min().unwrap_or(Span::from_secs(1)) / TURNS_PER_TARGET;
+        let max_process_interval = targets.min().unwrap_or(Span::from_secs(1)) / STALL_CHECKS_PER_TARGET;
         let mut engine = Engine {
             transactions: TransactionLayer::new(config.transactions, first_transaction),
             releases: PendingReleases::new(&config.transactions),
@@ -115,10 +119,10 @@
             pending_commands: HashMap::new(),
             ended_attempts: RecentIds::new(MAX_ENDED_ATTEMPTS),
             drain_state: DrainState::InService,
-            max_turn_gap,
+            max_process_interval,
             events: VecDeque::new(),
             next_timeout: None,
-            last_turn: now,
+            last_processed: now,
             input_delay: Span::ZERO,
             last_heard: Vec::new(),
             sampled_lines: Vec::new(),
@@ -129,12 +133,12 @@
 
     fn advance_to(&mut self, now: Moment) {
         let late = self.next_timeout.map_or(Span::ZERO, |timeout| now.since(timeout));
-        let margin = self.config.answer_margin.scaled(LATE_SHARE);
+        let margin = self.config.answer_margin.scaled(TOLERATED_LATENESS_SHARE);
         if late > margin.max(self.config.controller.min_turn_interval * 4) {
-            // What was received since the last turn was unread, for an unknown time.
-            self.input_delay = now.since(self.last_turn);
+            // The input may have been received at any time since the last processing.
+            self.input_delay = now.since(self.last_processed);
         }
-        if late > self.max_turn_gap {
+        if late > self.max_process_interval {
             self.next_timeout = None;
             self.emit(EngineEvent::Stalled(late));
         }
@@ -144,34 +148,35 @@
 
     // ---- Input ----
 
-    /// A datagram was received.
+    /// Handles a received datagram.
     pub fn handle_datagram(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
         self.advance_to(now);
         self.transactions.handle_datagram(self.now, from, bytes);
         self.handle_transaction_events();
     }
 
-    /// The list of servers is replaced.
+    /// Replaces the list of servers.
     pub fn update_endpoints(&mut self, now: Moment, endpoints: &[ServerEndpoint]) {
         self.advance_to(now);
         self.config.numbering_plan.set_servers(endpoints);
         for (service, name) in self.config.service_names.iter().enumerate() {
-            let serves =
+            let offers_service =
                 |endpoint: &&ServerEndpoint| endpoint.services.is_empty() || endpoint.services.contains(name);
-            let serving = endpoints.iter().filter(serves);
+            let serving = endpoints.iter().filter(offers_service);
             let mut servers: Vec<i64> = serving.map(|endpoint| endpoint.number).collect();
-            // The servers that the configuration allows for a service hold where the list names no services.
+            // The list is further restricted to the servers that the configuration allows for the service, if any.
             let allowed = &self.config.controller.services[service].servers;
             servers.retain(|number| allowed.is_empty() || allowed.contains(number));
-            let all_serve = servers.len() == endpoints.len();
-            self.policy.on_service_servers(ServiceIx::new(service), if all_serve { &[] } else { &servers });
+            let is_unrestricted = servers.len() == endpoints.len();
+            self.policy
+                .on_service_servers(ServiceIx::new(service), if is_unrestricted { &[] } else { &servers });
         }
         let updates = self.server_table.replace_list(endpoints, self.now);
         self.policy.on_endpoints(true, &updates);
         self.emit(EngineEvent::EndpointsChanged(self.server_table.listed_servers()));
     }
 
-    /// Restores what the servers had said of themselves before this front was restarted.
+    /// Restores the states that the servers had reported before this front was restarted.
     pub fn restore_self_reports(&mut self, now: Moment, persisted: &[ListedServer]) {
         self.advance_to(now);
         let updates = self.server_table.restore_self_reports(persisted);
@@ -179,32 +184,33 @@
         self.emit(EngineEvent::EndpointsChanged(self.server_table.listed_servers()));
     }
 
-    /// A datagram could not be sent. A set-up to that address has failed to connect; all else is repeated.
+    /// Handles a datagram that could not be sent. INVITEs to that address fail with `ConnectFailed`; other messages are
+    /// left to the retransmission.
     pub fn on_send_failed(&mut self, now: Moment, to: SocketAddr) {
         self.advance_to(now);
         let Some(server) = self.server_table.find_by_address(to) else { return };
         for session in self.calls.inviting_at(server) {
-            // The server may have moved: an INVITE to its other address is under way.
+            // If the server's address has changed, INVITEs that were sent to its other address are not affected.
             if self.is_served_from(session, to) {
                 self.abort_invite(session, InviteOutcome::ConnectFailed);
             }
         }
     }
 
-    /// Leaves service: no new sessions, each held one gets its answer, within the bound of the configuration.
+    /// Starts to drain: rejects new sessions, and gives each held session its final answer within the configured time.
     pub fn drain(&mut self, now: Moment) {
         self.advance_to(now);
         self.drain_state.start(self.now, self.config.drain_time);
     }
 
-    /// Whether a front that leaves service has nothing left to do.
+    /// Whether the drain has finished.
     pub fn is_drained(&self) -> bool {
         self.drain_state == DrainState::Closed
     }
 
     // ---- Output ----
 
-    /// Does all that is due: repeats, time-outs, and the policy's decisions.
+    /// Executes everything that is due: retransmissions, time-outs, and the policy's decisions.
     pub fn process(&mut self, now: Moment) {
         self.advance_to(now);
         self.transactions.process(self.now);
@@ -223,10 +229,11 @@
         while let Some(decision) = self.policy.next_decision() {
             self.execute(decision);
         }
-        // Where a decision met a full table, its session went back to the policy: it is counted as unfinished.
+        // A session whose INVITE could not be sent because the command table is full is pending again, and counts as
+        // unfinished.
         self.drain_state.update(self.now, self.unfinished(), self.config.drain_time);
         self.next_timeout = self.earliest_timeout();
-        (self.last_turn, self.input_delay) = (self.now, Span::ZERO);
+        (self.last_processed, self.input_delay) = (self.now, Span::ZERO);
     }
 
     fn earliest_timeout(&mut self) -> Option<Moment> {
@@ -236,12 +243,12 @@
             self.calls.poll_timeout(),
             self.releases.poll_timeout(),
             self.drain_state.poll_timeout(self.now, self.config.drain_time),
-            Some(self.now + self.max_turn_gap),
+            Some(self.now + self.max_process_interval),
         ];
         timeouts.into_iter().flatten().min()
     }
 
-    /// What a front that leaves service still has to finish.
+    /// The number of sessions, commands and releases that a draining front still has to finish.
     fn unfinished(&self) -> usize {
         self.calls.unanswered().len() + self.transactions.load().outstanding + self.releases.scheduled()
     }
@@ -260,7 +267,7 @@
         }
     }
 
-    /// The bound of a drain has passed: the session fails and its INVITE is cancelled.
+    /// Fails a session that has no final answer when the drain's time is over, and cancels its INVITE.
     fn fail_at_drain_deadline(&mut self, session: SessionIx) {
         self.policy.on_caller_gone(session);
         if let Some(Phase::Inviting(invite)) = self.calls.get(session).map(|call| &call.phase) {
@@ -271,7 +278,7 @@
         self.fail(session, None);
     }
 
-    /// When [`Engine::process`] is due although nothing was received.
+    /// When [`Engine::process`] must be called next, even if nothing is received.
     pub fn poll_timeout(&self) -> Option<Moment> {
         self.next_timeout
     }
@@ -281,14 +288,14 @@
         self.transactions.poll_datagram()
     }
 
-    /// The next event for the log and the event log.
+    /// The next event for the log file and the event log.
     pub fn poll_event(&mut self) -> Option<EngineEvent> {
         self.events.pop_front()
     }
 
-    // ---- State that is shown ----
+    // ---- Status ----
 
-    /// One line a server: its state and the reason for it.
+    /// One line per server: its state and the reason for it.
     pub fn status(&self) -> Vec<String> {
         self.server_table.status()
     }
@@ -308,25 +315,25 @@
             .collect()
     }
 
-    /// Releases that servers have not confirmed.
+    /// The number of releases that servers have not confirmed.
     pub fn unconfirmed_releases(&self) -> usize {
         self.releases.unconfirmed()
     }
 
-    /// Whether the session of that attempt is held.
+    /// Whether the front holds the session of this attempt.
     pub fn has_session(&self, attempt: &str) -> bool {
         self.calls.find(attempt).is_some()
     }
 
-    /// How much it holds.
+    /// The number of sessions and open commands that are held.
     pub fn load(&self) -> EngineLoad {
         EngineLoad { sessions: self.calls.len(), open_commands: self.transactions.load().outstanding }
     }
 
-    // ---- For the engine's parts ----
+    // ---- Internal: event queue and names ----
 
     fn emit(&mut self, event: EngineEvent) {
-        if self.events.len() < MAX_EVENTS {
+        if self.events.len() < MAX_QUEUED_EVENTS {
             self.events.push_back(event);
         }
     }
--- a/crates/ochrelead-front/src/engine/call_table.rs
+++ b/crates/ochrelead-front/src/engine/call_table.rs
@@ -1,4 +1,4 @@
-//! The sessions that a front holds, with an index for each way in which they are looked up.
+//! The sessions that a front holds, with an index for each kind of lookup.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -8,18 +8,18 @@
 use ochrelead_mgcp::message::{Endpoint, TransactionId};
 use slab::Slab;
 
-/// A session for as long as it is held; its index alone may be another session's later.
+/// Identifies a session uniquely. The index alone is reused by later sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SessionKey {
     pub(super) index: SessionIx,
     serial: u64,
 }
 
-/// The INVITE that is out.
+/// An INVITE without a final response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Invite {
     pub(super) server: ServerIx,
-    /// Where it was sent; the server may have moved since.
+    /// The address to which it was sent; the server's address may have changed since.
     pub(super) address: SocketAddr,
     pub(super) transaction: TransactionId,
     pub(super) sent: Moment,
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Circuit {
     pub(super) server: ServerIx,
-    /// The address of the process that has it.
+    /// The address of the server's process that holds the call.
     pub(super) address: SocketAddr,
     pub(super) endpoint: Endpoint,
     pub(super) connection: String,
@@ -38,16 +38,16 @@
     pub(super) established_at: Moment,
 }
 
-/// Where a session is on its way.
+/// The phase of a session.
 #[derive(Clone, Debug)]
 pub(super) enum Phase {
-    /// The policy decides on it; no INVITE is out.
+    /// The session waits for a decision of the policy; no INVITE is open.
     Pending,
-    /// An INVITE is out.
+    /// An INVITE has been sent and has no final response.
     Inviting(Invite),
     /// The call is established.
     Established(Circuit),
-    /// The caller has gone; the server's response to the release is still to come.
+    /// The caller has hung up, and the server has not yet responded to the release.
     Releasing,
 }
 
@@ -56,7 +56,7 @@
 pub(super) struct Call {
     pub(super) gateway: SocketAddr,
     pub(super) line: Endpoint,
-    /// The caller's side of the call, as its gateway named it.
+    /// The connection id of the caller's side, as given by the gateway.
     pub(super) connection: Option<String>,
     /// The id of the caller's attempt.
     pub(super) attempt: String,
@@ -64,7 +64,7 @@
     pub(super) requested_at: Moment,
     pub(super) deadline: Moment,
     invites: u32,
-    /// How often all its INVITEs together may still be repeated.
+    /// The retransmissions that are left to all INVITEs of the session together.
     pub(super) remaining_repeats: u32,
     pub(super) phase: Phase,
     serial: u64,
@@ -125,7 +125,7 @@
         SessionKey { index, serial: self.calls[index.index()].serial }
     }
 
-    /// Whether the session is still held.
+    /// Whether the key's session is still held.
     pub(super) fn is_current(&self, key: SessionKey) -> bool {
         self.get(key.index).is_some_and(|call| call.serial == key.serial)
     }
@@ -135,20 +135,20 @@
         self.by_attempt.get(attempt).copied()
     }
 
-    /// An INVITE that was out has been repeated at most so often.
-    pub(super) fn count_repeats(&mut self, index: SessionIx, repeats: u32) {
+    /// Subtracts the retransmissions of an ended INVITE from those that the session has left.
+    pub(super) fn consume_repeats(&mut self, index: SessionIx, repeats: u32) {
         let call = &mut self.calls[index.index()];
         call.remaining_repeats = call.remaining_repeats.saturating_sub(repeats);
     }
 
-    /// Counts an INVITE; how many there have been.
+    /// Counts an INVITE; returns the number of the session's INVITEs so far.
     pub(super) fn count_invite(&mut self, index: SessionIx) -> u32 {
         let call = &mut self.calls[index.index()];
         call.invites += 1;
         call.invites
     }
 
-    /// Moves a session to its next phase and keeps all indices in step.
+    /// Sets the phase of a session and updates all indices.
     pub(super) fn set_phase(&mut self, index: SessionIx, phase: Phase) {
         self.unindex_phase(index);
         match &phase {
@@ -179,7 +179,7 @@
             }
             Phase::Established(circuit) => {
                 self.established.remove(&(circuit.server, index));
-                // The circuit may be another session's by now.
+                // A later session may use the circuit by now.
                 if self.by_circuit.get(&circuit.endpoint) == Some(&index) {
                     self.by_circuit.remove(&circuit.endpoint);
                 }
@@ -198,7 +198,7 @@
         Some(call)
     }
 
-    /// A session whose INVITE has timed out.
+    /// The session whose INVITE timed out first, if any has.
     pub(super) fn next_timed_out(&self, now: Moment) -> Option<SessionIx> {
         self.invite_timeouts.first().filter(|(times_out_at, _)| *times_out_at <= now).map(|(_, index)| *index)
     }
--- a/crates/ochrelead-front/src/engine/caller_side.rs
+++ b/crates/ochrelead-front/src/engine/caller_side.rs
@@ -1,4 +1,4 @@
-//! The callers' side: NTFY in; MDCX, RQNT and DLCX out (RFC 3435 sections 2.3.3 to 2.3.8).
+//! The callers' side: receives NTFY; sends MDCX, RQNT and DLCX (RFC 3435 sections 2.3.3 to 2.3.8).
 
 use std::net::SocketAddr;
 
@@ -13,15 +13,15 @@
 use super::transactions::PendingCommand;
 use crate::events::{AbandonedInvite, SessionStep};
 
-/// The longest id of an attempt: that of a call id (RFC 3435 section 3.2.2.2).
+/// The maximal length of an attempt's id, in digits; it is that of a call id (RFC 3435 section 3.2.2.2).
 const MAX_ATTEMPT_ID_LENGTH: usize = 32;
-/// The signals of packages L and D (RFC 3660) that a caller hears.
+/// The tones that a caller hears: signals of package L (RFC 3660).
 const BUSY_TONE: &str = "L/bz";
 const REORDER_TONE: &str = "L/ro";
-/// Notify of a hang-up.
+/// Requests that the gateway notifies the front when the caller hangs up.
 const REQUEST_HANG_UP: &str = "L/hu(N)";
 
-/// What a caller's line observed (RFC 3435 section 3.2.2.12; packages L and D of RFC 3660).
+/// The events that were observed on a caller's line (RFC 3435 section 3.2.2.12; packages L and D of RFC 3660).
 #[derive(Default)]
 struct ObservedEvents {
     off_hook: bool,
@@ -55,8 +55,11 @@
         let attempt = command.parameters.get(parameter::ATTEMPT).unwrap_or("");
         if !is_attempt_id(attempt) {
             self.respond(from, code::PROTOCOL_ERROR, command);
-            let reason =
-                format!("no {} of 1 to {MAX_ATTEMPT_ID_LENGTH} hexadecimal digits", parameter::ATTEMPT);
+            let reason = format!(
+                "NTFY: {} of {} bytes is no id of 1 to {MAX_ATTEMPT_ID_LENGTH} hexadecimal digits",
+                parameter::ATTEMPT,
+                attempt.len()
+            );
             return self.ignore_message(from, reason);
         }
         self.respond(from, code::DONE, command);
@@ -67,11 +70,13 @@
         }
     }
 
-    /// An attempt of a caller opens one session.
+    /// Opens a session for a caller's attempt, unless the caller has already hung up.
     fn handle_attempt(&mut self, from: SocketAddr, command: &Command, attempt: &str, digits: &str) {
-        // A hang-up overtook its attempt: nobody waits for an answer. More repeats of it may follow.
+        // The hang-up was received before its attempt, so no caller waits for an answer. The id is kept, because
+        // retransmissions of the attempt may follow.
         if self.ended_attempts.contains(attempt) {
-            return self.ignore_message(from, format!("try {attempt} had hung up before it came"));
+            return self
+                .ignore_message(from, format!("attempt {attempt}: its hang-up was received before it"));
         }
         let dialled = self.config.numbering_plan.resolve(digits);
         let call = self.new_call(from, command, attempt, digits);
@@ -89,7 +94,7 @@
         };
         self.emit_step(session, accepted);
         let Some(ResolvedNumber { service, destination }) = dialled else {
-            // The numbering plan does not have the number: nothing can be set up.
+            // The numbering plan does not contain the number.
             return self.fail(session, None);
         };
         if !self.drain_state.accepts_sessions() || self.calls.len() > self.config.max_sessions {
@@ -110,7 +115,7 @@
     fn new_call(&self, from: SocketAddr, command: &Command, attempt: &str, digits: &str) -> Call {
         let mut call =
             Call::new(from, command.endpoint.clone(), attempt.to_owned(), digits.to_owned(), self.now);
-        let patience = command
+        let caller_limit = command
             .parameters
             .parse::<u32>(parameter::TIMER_LIMIT)
             .map(|ms| Span::from_millis(u64::from(ms)));
@@ -119,23 +124,23 @@
             .numbering_plan
             .resolve(digits)
             .map_or(Span::ZERO, |dialled| self.config.timer_limits[dialled.service.index()]);
-        // After a stall an attempt is taken for as old as it may be: its caller has waited all the while.
-        let limit = patience.map_or(service_limit, |patience| patience.min(service_limit)) - self.input_delay;
+        // After a stall the time for which the attempt may have been unread is subtracted from its caller's limit.
+        let limit = caller_limit.map_or(service_limit, |limit| limit.min(service_limit)) - self.input_delay;
         call.deadline = self.now + (limit - self.config.answer_margin);
-        // One INVITE that waits until the deadline is repeated so often; several share these repeats.
+        // The retransmissions of one INVITE that stays open until the deadline; all INVITEs of the session share them.
         call.remaining_repeats = self.config.transactions.max_retransmissions(call.deadline.since(self.now));
         call.connection = command.parameters.get(parameter::CONNECTION_ID).map(str::to_owned);
         call
     }
 
-    /// A caller has hung up. One without a session here may name the far end of its call: a front that was restarted
-    /// releases it there.
+    /// Handles a caller's hang-up. If no session of the attempt is held, for example after a restart of this front, the
+    /// hang-up may name the far end of the call, which is then released at its server.
     fn handle_hang_up(&mut self, from: SocketAddr, command: &Command, attempt: &str) {
         if let Some(session) = self.calls.find(attempt) {
-            return self.end_for_caller(session);
+            return self.end_session_of_caller(session);
         }
-        // Its attempt may still come: overtaken, or repeated to a front that was restarted and whose response to the
-        // first one got lost.
+        // The attempt itself may still be received: the hang-up has overtaken it, or the gateway repeats it because the
+        // response of this front's former process was lost.
         self.ended_attempts.insert(attempt);
         let far_end = command.parameters.get(parameter::FAR_END).and_then(|far_end| {
             let (connection, endpoint) = far_end.split_once(' ')?;
@@ -147,17 +152,23 @@
                 let to = self.server_table.endpoint(server).address;
                 self.release_connection(to, endpoint, Some(attempt), Some(connection));
             }
-            None => self.ignore_message(from, format!("try {attempt}: no server {}", endpoint.domain())),
+            None => self.ignore_message(
+                from,
+                format!(
+                    "hang-up of attempt {attempt}: server {} of its far end is not listed",
+                    endpoint.domain()
+                ),
+            ),
         }
     }
 
     pub(super) fn on_caller_gone(&mut self, session: SessionKey) {
         if self.calls.is_current(session) {
-            self.end_for_caller(session.index);
+            self.end_session_of_caller(session.index);
         }
     }
 
-    fn end_for_caller(&mut self, session: SessionIx) {
+    fn end_session_of_caller(&mut self, session: SessionIx) {
         let Some(call) = self.calls.get(session) else { return };
         match call.phase.clone() {
             Phase::Pending => {
@@ -181,7 +192,7 @@
         }
     }
 
-    /// The final answer of an established session: the caller is connected.
+    /// Sends the final answer of an established session: connects the caller.
     pub(super) fn connect_caller(
         &mut self,
         session: SessionIx,
@@ -203,7 +214,7 @@
         self.send_command(gateway, command, PendingCommand::ConnectCaller(key));
     }
 
-    /// The final answer of a rejected session: busy tone, and when to come back.
+    /// Sends the final answer of a rejected session: a busy tone, and the time to wait before a redial, if given.
     pub(super) fn reject(
         &mut self,
         session: SessionIx,
@@ -215,7 +226,7 @@
         self.send_tone(session, BUSY_TONE, retry_after_ms);
     }
 
-    /// The final answer of a failed session: reorder tone.
+    /// Sends the final answer of a failed session: a reorder tone.
     pub(super) fn fail(&mut self, session: SessionIx, cause: Option<RejectionCause>) {
         self.emit_step(session, SessionStep::Rejected { cause, refused: false, retry_after_ms: None });
         self.send_tone(session, REORDER_TONE, None);
@@ -234,7 +245,8 @@
         self.send_command(call.gateway, command, PendingCommand::NoFollowUp);
     }
 
-    /// The server no longer has an established call: the caller's side is released too. Its final answer was sent before.
+    /// Releases the caller's side of an established call that its server has released or lost. The caller already has
+    /// its final answer.
     pub(super) fn release_caller_side(&mut self, session: SessionIx, server: ServerIx) {
         let server = self.server_name(server);
         self.emit_step(session, SessionStep::CutByServer { server });
--- a/crates/ochrelead-front/src/engine/server_side.rs
+++ b/crates/ochrelead-front/src/engine/server_side.rs
@@ -1,4 +1,4 @@
-//! The servers' side: CRCX and DLCX out; responses, DLCX and RSIP in (RFC 3435 sections 2.3.5 to 2.3.12).
+//! The servers' side: sends CRCX and DLCX; receives responses, DLCX and RSIP (RFC 3435 sections 2.3.5 to 2.3.12).
 
 use std::net::SocketAddr;
 
@@ -16,16 +16,17 @@
 use crate::outcomes;
 use crate::releases::Release;
 
-/// A command that is lost three times comes so many first gaps late: 1, 2 and 4 of them (RFC 3435 section 3.5.3).
-const LATE_COMMAND_GAPS: u64 = 7;
-/// One line capacity of so many is reported as an event.
-const LINE_SAMPLING: u32 = 4;
-/// The terms that stand for any endpoint, and for all endpoints, of a trunk group (RFC 3435 section 2.1.2).
+/// The delay of a command that is lost three times, in initial retransmission time-outs: the time-out doubles, so the
+/// fourth transmission is sent after 1 + 2 + 4 of them (RFC 3435 section 3.5.3).
+const LATE_COMMAND_RTOS: u64 = 7;
+/// A line capacity is reported as an event if its number of free lines is a multiple of this.
+const LINE_SAMPLING_INTERVAL: u32 = 4;
+/// The wildcards for any one endpoint and for all endpoints of a trunk group (RFC 3435 section 2.1.2).
 const ANY_CIRCUIT: &str = "$";
 const ALL_CIRCUITS: &str = "*";
 
 impl Engine {
-    /// Takes over what a message of a server says of its lines and its load.
+    /// Passes the line capacity and the load report of a server's message to the policy.
     pub(super) fn update_load(&mut self, server: ServerIx, parameters: &Parameters) {
         if let Some(lines) = outcomes::parse_lines(parameters) {
             self.policy.on_line_capacity(server, lines);
@@ -36,11 +37,11 @@
         }
     }
 
-    /// A server sends its line capacity to all fronts at one moment. Some of the figures, the same ones at each front,
-    /// are reported as events, so that the event logs of all fronts can be set to one clock.
+    /// Reports a sample of a server's line capacities as events. A server sends each capacity to all fronts at the same
+    /// time, and all fronts report the same sample, so that the clocks of their event logs can be aligned.
     pub(super) fn sample_lines(&mut self, server: ServerIx, parameters: &Parameters) {
         let Some(lines) = outcomes::parse_lines(parameters) else { return };
-        if lines.free % LINE_SAMPLING != 0 {
+        if lines.free % LINE_SAMPLING_INTERVAL != 0 {
             return;
         }
         if self.sampled_lines.len() <= server.index() {
@@ -58,7 +59,7 @@
         endpoint.parse().expect("the names of listed servers were validated as parts of endpoint names")
     }
 
-    /// Sends an INVITE: one CRCX transaction on the server's trunk group.
+    /// Sends an INVITE, as one CRCX transaction on the server's trunk group.
     pub(super) fn send_invite(&mut self, session: SessionIx, server: ServerIx, answer_timeout: Option<Span>) {
         let Some(call) = self.calls.get(session) else { return };
         let deadline = call.deadline;
@@ -84,18 +85,19 @@
         self.calls.set_phase(session, Phase::Inviting(invite));
     }
 
-    /// The final response to the INVITE that is out.
+    /// Handles the final response to the session's open INVITE.
     pub(super) fn on_invite_answered(&mut self, key: SessionKey, response: &Response) {
         if !self.calls.is_current(key) {
             return;
         }
         let session = key.index;
-        let Some(invite) = self.outstanding_invite(session) else { return };
+        let Some(invite) = self.open_invite(session) else { return };
         if let Some(outcome) = outcomes::from_response(response) {
             return self.end_invite(session, invite, outcome);
         }
         let Some(circuit) = parse_circuit(invite.server, invite.address, response, self.now) else {
-            // It says that the call is established but not where: it can be neither used nor released by name.
+            // The response establishes the call but names no valid circuit, so the call can't be used, and is released
+            // by its call id.
             self.release_call(invite, session);
             return self.end_invite(session, invite, InviteOutcome::Failed { lines_busy: false });
         };
@@ -111,16 +113,16 @@
         self.connect_caller(session, &circuit, response.description.clone());
     }
 
-    fn outstanding_invite(&self, session: SessionIx) -> Option<Invite> {
+    fn open_invite(&self, session: SessionIx) -> Option<Invite> {
         match self.calls.get(session)?.phase {
             Phase::Inviting(invite) => Some(invite),
             _ => None,
         }
     }
 
-    /// Ends an INVITE that got no response: it is cancelled, so that what it may hold at the server is released.
+    /// Ends an INVITE that was not answered: cancels it, so that the server releases any circuit reserved for it.
     pub(super) fn abort_invite(&mut self, session: SessionIx, outcome: InviteOutcome) {
-        let Some(invite) = self.outstanding_invite(session) else { return };
+        let Some(invite) = self.open_invite(session) else { return };
         self.cancel_invite(session);
         self.end_invite(session, invite, outcome);
     }
@@ -129,16 +131,16 @@
         let server = invite.server;
         let name = self.server_name(server);
         let duration = self.now.since(invite.sent);
-        self.calls.count_repeats(session, self.config.transactions.max_retransmissions(duration));
+        self.calls.consume_repeats(session, self.config.transactions.max_retransmissions(duration));
         self.emit_step(session, SessionStep::InviteEnded { server: name, outcome, duration });
         self.calls.set_phase(session, Phase::Pending);
         self.policy.on_invite_ended(session, server, outcome, false);
     }
 
-    /// Stops the repeats of the INVITE; the server is told to release the call (RFC 3435 section 2.3.9, all connections
-    /// of a call).
+    /// Stops the retransmissions of the INVITE, and requests the server to release all connections of the call
+    /// (RFC 3435 section 2.3.9).
     pub(super) fn cancel_invite(&mut self, session: SessionIx) {
-        let Some(invite) = self.outstanding_invite(session) else { return };
+        let Some(invite) = self.open_invite(session) else { return };
         self.abandon_invite(invite);
         self.release_call(invite, session);
     }
@@ -174,13 +176,13 @@
         if let Some(connection) = &release.connection {
             command.parameters.add(parameter::CONNECTION_ID, connection);
         }
-        if let Some(transaction) = self.send_command(release.to, command, PendingCommand::ReleaseUnheld) {
+        if let Some(transaction) = self.send_command(release.to, command, PendingCommand::ReleaseOrphan) {
             self.releases.on_sent(transaction, release);
         }
     }
 
-    /// A response that no command waits for. Where it says that a call was established, nobody will ever release that
-    /// call: it is released here, unless its circuit is in use by now.
+    /// Handles a response that matches no open command. If it establishes a call, no session will ever release that
+    /// call: it is released here, unless a session uses its circuit by now.
     pub(super) fn release_unclaimed_call(&mut self, from: SocketAddr, response: &Response) {
         let Some(server) = self.server_table.find_by_address(from) else { return };
         if response.code != code::DONE {
@@ -196,7 +198,7 @@
         self.release_connection(from, circuit.endpoint, None, Some(&circuit.connection));
     }
 
-    /// The caller of an established call has hung up.
+    /// Releases an established call at its server, because the caller has hung up.
     pub(super) fn release_established(&mut self, session: SessionIx, circuit: Circuit) {
         let Some(call) = self.calls.get(session) else { return };
         let release = Release::new(
@@ -216,7 +218,7 @@
         }
     }
 
-    /// The release of an established call is confirmed, or given up.
+    /// Ends a session whose release was confirmed or has timed out.
     pub(super) fn on_released(&mut self, key: SessionKey, server: ServerIx, outcome: InviteOutcome) {
         if self.calls.is_current(key) {
             let confirmed = outcome == InviteOutcome::Released;
@@ -227,18 +229,19 @@
         }
     }
 
-    /// A server releases a call by itself (RFC 3435 section 2.3.10).
+    /// Handles a call's release by its server (RFC 3435 section 2.3.10).
     pub(super) fn handle_server_release(&mut self, from: SocketAddr, command: &Command) {
         let session = command.parameters.get(parameter::CALL_ID).and_then(|call| self.calls.find(call));
-        let served = session.and_then(|session| Some((session, self.serving_server(session)?)));
-        let Some((session, (server, _))) = served.filter(|(_, (_, address))| *address == from) else {
+        let session_and_server = session.and_then(|session| Some((session, self.serving_server(session)?)));
+        let Some((session, (server, _))) = session_and_server.filter(|(_, (_, address))| *address == from)
+        else {
             return self.respond(from, code::UNKNOWN_CALL, command);
         };
         self.respond(from, code::DELETED, command);
         self.on_call_lost(session, server);
     }
 
-    /// The server that has the session, and the address of its process.
+    /// The server of the session's INVITE or call, and the address of that server's process.
     fn serving_server(&self, session: SessionIx) -> Option<(ServerIx, SocketAddr)> {
         match &self.calls.get(session)?.phase {
             Phase::Inviting(invite) => Some((invite.server, invite.address)),
@@ -247,12 +250,12 @@
         }
     }
 
-    /// Whether the process at that address has the session.
+    /// Whether the session's INVITE or call is at the process with this address.
     pub(super) fn is_served_from(&self, session: SessionIx, address: SocketAddr) -> bool {
         self.serving_server(session).is_some_and(|(_, serving)| serving == address)
     }
 
-    /// The server no longer has this call.
+    /// Ends a call that its server has released or lost.
     fn on_call_lost(&mut self, session: SessionIx, server: ServerIx) {
         match self.calls.get(session).map(|call| call.phase.clone()) {
             Some(Phase::Inviting(invite)) => {
@@ -267,17 +270,18 @@
         }
     }
 
-    /// A restart may be announced late, by repeats: a call that was established just before, or whose INVITE was just
-    /// repeated, may be the new process's, and would never be released there.
+    /// Releases a call that may belong to a server's new process. The announcement of a restart is late if it was lost
+    /// and retransmitted: a call that was set up, or whose INVITE was retransmitted, shortly before it was received may
+    /// be held by the new process, which would otherwise never release it.
     fn release_if_recent(&mut self, session: SessionIx) {
         let Some(call) = self.calls.get(session) else { return };
-        let (attempt, late) =
-            (call.attempt.clone(), self.config.transactions.initial_rto * LATE_COMMAND_GAPS);
+        let (attempt, max_delay) =
+            (call.attempt.clone(), self.config.transactions.initial_rto * LATE_COMMAND_RTOS);
         match call.phase.clone() {
-            Phase::Inviting(invite) if self.now.since(invite.sent) < late => {
+            Phase::Inviting(invite) if self.now.since(invite.sent) < max_delay => {
                 self.release_call(invite, session);
             }
-            Phase::Established(circuit) if self.now.since(circuit.established_at) < late => {
+            Phase::Established(circuit) if self.now.since(circuit.established_at) < max_delay => {
                 let Circuit { address, endpoint, connection, .. } = circuit;
                 self.release_connection(address, endpoint, Some(&attempt), Some(&connection));
             }
@@ -285,24 +289,30 @@
         }
     }
 
-    /// A server announces its restart, its drain or its end.
+    /// Handles an RSIP: a server announces its restart, its drain or its end.
     pub(super) fn handle_restart(&mut self, from: SocketAddr, command: &Command) {
         let server = self.server_table.find_by_name(command.endpoint.domain());
         let Some(server) = server.filter(|server| self.server_table.find_by_address(from) == Some(*server))
         else {
             self.respond(from, code::UNKNOWN_ENDPOINT, command);
-            return self.ignore_message(from, format!("RSIP of {}, which is not listed", command.endpoint));
+            return self.ignore_message(
+                from,
+                format!(
+                    "RSIP of {}: no listed server of this name has the sender's address",
+                    command.endpoint
+                ),
+            );
         };
         let value = command.parameters.get(parameter::RESTART_METHOD).unwrap_or("");
         let Some(method) = RestartMethod::parse(value) else {
             self.respond(from, code::PROTOCOL_ERROR, command);
-            return self.ignore_message(from, format!("RSIP with the unknown method {value:?}"));
+            return self.ignore_message(from, format!("RSIP with unknown restart method {value:?}"));
         };
         self.respond(from, code::DONE, command);
-        // The delay of a drain is how long it lasts, not when it begins: nothing new goes there from now on.
+        // The delay in the RSIP of a drain is its duration, not its start: the server gets no new calls from now on.
         let Some(effect) = self.server_table.handle_restart(server, method, self.now) else { return };
         if effect.calls_lost {
-            self.lose_calls(server, from);
+            self.end_lost_calls(server, from);
         }
         self.policy.on_endpoints(false, &[effect.update]);
         let name = self.server_name(server);
@@ -310,11 +320,11 @@
         self.emit(EngineEvent::EndpointsChanged(self.server_table.listed_servers()));
     }
 
-    /// What the old process of a server had is gone; its responses are of no use any more.
-    fn lose_calls(&mut self, server: ServerIx, address: SocketAddr) {
+    /// Ends the calls and INVITEs of a server's process that has ended.
+    fn end_lost_calls(&mut self, server: ServerIx, address: SocketAddr) {
         let sessions = [self.calls.inviting_at(server), self.calls.established_at(server)].concat();
         for session in sessions {
-            // Calls at an address that the server has left are another process's.
+            // Calls at the server's former address belong to another process.
             if self.is_served_from(session, address) {
                 self.release_if_recent(session);
                 self.on_call_lost(session, server);
@@ -323,7 +333,7 @@
     }
 }
 
-/// What a restart method says of the server, as the event log has it.
+/// The server's state after an RSIP with this restart method, as it is written to the event log.
 fn restart_state(method: RestartMethod) -> &'static str {
     match method {
         RestartMethod::Restart => "started",
@@ -333,7 +343,8 @@
     }
 }
 
-/// Where a call was established (RFC 3435 section 2.3.5: `Z` where the endpoint was named by a wildcard).
+/// Reads the circuit of an established call from the response (RFC 3435 section 2.3.5: `Z` names the endpoint if the
+/// command had a wildcard).
 fn parse_circuit(
     server: ServerIx,
     address: SocketAddr,
--- a/crates/ochrelead-front/src/engine/transactions.rs
+++ b/crates/ochrelead-front/src/engine/transactions.rs
@@ -1,4 +1,5 @@
-//! What the MGCP transaction layer reports: commands of gateways and servers, responses, and commands that got none.
+//! Dispatches the events of the MGCP transaction layer: commands of gateways and servers, responses to this front's
+//! commands, and time-outs of commands that were not answered.
 
 use std::net::SocketAddr;
 
@@ -10,20 +11,20 @@
 use super::Engine;
 use super::call_table::SessionKey;
 
-/// From this return code on a response says that the command failed (RFC 3435 section 2.4).
+/// Return codes from this one on report an error (RFC 3435 section 2.4).
 const FIRST_ERROR_CODE: u16 = 400;
 
-/// What a command of this front is about, until its response is received.
+/// The purpose of a command that this front has sent and that is not answered yet.
 pub(super) enum PendingCommand {
     /// An INVITE.
     Invite(SessionKey),
-    /// The release of an established call, at its server.
+    /// The release of an established call at its server.
     Release(SessionKey, ServerIx),
-    /// The caller's gateway connects the caller.
+    /// The request to the caller's gateway to connect the caller.
     ConnectCaller(SessionKey),
-    /// The release of a call that no session holds.
-    ReleaseUnheld,
-    /// A tone, or the release of the caller's side: nothing depends on the response.
+    /// The release of a call that belongs to no session.
+    ReleaseOrphan,
+    /// A tone, or the release of the caller's side; the response is not used.
     NoFollowUp,
 }
 
@@ -44,7 +45,10 @@
                     self.ignore_message(from, error.to_string());
                 }
                 TransactionEvent::CommandRefused { from, .. } => {
-                    self.ignore_message(from, "too many commands in work");
+                    self.ignore_message(
+                        from,
+                        "command refused: too many commands of gateways and servers are open",
+                    );
                 }
             }
         }
@@ -53,7 +57,7 @@
     fn handle_command(&mut self, from: SocketAddr, command: &Command) {
         let server = self.server_table.find_by_address(from);
         if let Some(server) = server {
-            self.mark_heard(server);
+            self.record_heard(server);
             self.update_load(server, &command.parameters);
         }
         match (command.verb, server) {
@@ -66,21 +70,24 @@
             (Verb::RestartInProgress, _) => self.handle_restart(from, command),
             (Verb::AuditEndpoint, _) => self.respond(from, code::DONE, command),
             _ => {
-                // Only gateways and servers carry these out (RFC 3435 section 2.3).
+                // The other commands are sent by call agents and executed by gateways (RFC 3435 section 2.3).
                 self.respond(from, code::UNSUPPORTED, command);
-                self.ignore_message(from, format!("{} is not for a call agent", command.verb.code()));
+                self.ignore_message(
+                    from,
+                    format!("{} is not a command to a call agent", command.verb.code()),
+                );
             }
         }
     }
 
     fn handle_response(&mut self, from: SocketAddr, response: &Response, matched: ResponseMatch) {
         if let Some(server) = self.server_table.find_by_address(from) {
-            self.mark_heard(server);
+            self.record_heard(server);
             self.update_load(server, &response.parameters);
         }
         if matched != ResponseMatch::Outstanding {
-            // The command was given up, or is of the process that ran here before: what was set up is released again. The
-            // id may be that of a command which waits for another peer's response: that one keeps waiting.
+            // The command has timed out, or was sent by the process that ran here before a restart: a call that it set
+            // up is released. If the same id belongs to an open command to another peer, that command stays open.
             if matched == ResponseMatch::Late {
                 self.releases.on_invite_answered(response.transaction);
             }
@@ -93,12 +100,12 @@
                 self.on_released(session, server, InviteOutcome::Released);
             }
             Some(PendingCommand::ConnectCaller(session)) => {
-                // The caller's gateway no longer knows the call: it has hung up, and its NTFY got lost.
+                // The caller's gateway does not know the call: the caller has hung up, and the NTFY was lost.
                 if response.code >= FIRST_ERROR_CODE {
                     self.on_caller_gone(session);
                 }
             }
-            Some(PendingCommand::ReleaseUnheld) => {
+            Some(PendingCommand::ReleaseOrphan) => {
                 self.releases.on_confirmed(self.now, response.transaction);
             }
             Some(PendingCommand::NoFollowUp) | None => {}
@@ -114,7 +121,7 @@
                 self.releases.on_unanswered(self.now, transaction);
                 self.on_released(session, server, InviteOutcome::TimedOut);
             }
-            Some(PendingCommand::ReleaseUnheld) => self.releases.on_unanswered(self.now, transaction),
+            Some(PendingCommand::ReleaseOrphan) => self.releases.on_unanswered(self.now, transaction),
             Some(PendingCommand::ConnectCaller(session)) => self.on_caller_gone(session),
             _ => {}
         }
@@ -125,7 +132,7 @@
         self.transactions.respond(to, Response::new(code, command.transaction));
     }
 
-    /// Sends a command; none where the table of commands is full.
+    /// Sends a command; returns `None` if the table of open commands is full.
     pub(super) fn send_command(
         &mut self,
         to: SocketAddr,
@@ -135,7 +142,8 @@
         self.send_command_with_repeats(to, command, pending, u32::MAX)
     }
 
-    /// Sends a command that is repeated at most so often; none where the table of commands is full.
+    /// Sends a command with at most `max_repeats` retransmissions; returns `None` if the table of open commands is
+    /// full.
     pub(super) fn send_command_with_repeats(
         &mut self,
         to: SocketAddr,
@@ -155,7 +163,7 @@
         }
     }
 
-    fn mark_heard(&mut self, server: ServerIx) {
+    fn record_heard(&mut self, server: ServerIx) {
         if self.last_heard.len() <= server.index() {
             self.last_heard.resize(server.index() + 1, None);
         }
--- a/crates/ochrelead-front/src/event_recording.rs
+++ b/crates/ochrelead-front/src/event_recording.rs
@@ -1,4 +1,4 @@
-//! The engine's events in the form that the event log has them.
+//! Converts the engine's events to records of the event log.
 
 use ochrelead_core::time::Span;
 use ochrelead_core::types::{BudgetGrant, DecisionReason, InviteOutcome, RejectionCause, RoutingChoice};
@@ -8,10 +8,10 @@
 use crate::engine::ServerReport;
 use crate::events::{EngineEvent, SessionStep};
 
-/// The setup rate of a server whose rate is not known.
-const UNKNOWN_RATE: f64 = -1.0;
+/// The recorded setup rate of a server whose rate is not known.
+const UNKNOWN_SETUP_RATE: f64 = -1.0;
 
-/// An event as a record; none where it is for the log alone. `generation` is that of the endpoints in force.
+/// Converts an event to a record; `None` if it is only logged. `generation` is that of the server list in use.
 pub fn to_record(event: &EngineEvent, generation: u64) -> Option<What> {
     Some(match event {
         EngineEvent::Session { attempt, step } => step_record(attempt.clone(), step)?,
@@ -31,11 +31,11 @@
     })
 }
 
-fn step_record(tried: String, step: &SessionStep) -> Option<What> {
+fn step_record(attempt_id: String, step: &SessionStep) -> Option<What> {
     Some(match step.clone() {
         SessionStep::Accepted { service, tenant, destination, called_number, is_redial } => {
             What::Taken(schema::Taken {
-                tried,
+                tried: attempt_id,
                 service: service as u32,
                 member: tenant.map_or(0, |tenant| tenant as u32 + 1),
                 destination,
@@ -46,22 +46,22 @@
         SessionStep::Invited { server, attempt, reason } => {
             let (choice, payment) = sent_record(reason);
             let (choice, payment) = (choice.into(), payment.into());
-            What::Invite(schema::Invite { tried, server, nth: attempt, choice, payment })
+            What::Invite(schema::Invite { tried: attempt_id, server, nth: attempt, choice, payment })
         }
         SessionStep::InviteEnded { server, outcome, duration } => What::Ended(schema::Ended {
-            tried,
+            tried: attempt_id,
             server,
             ending: outcome_record(outcome).into(),
             took_us: duration.micros(),
         }),
         SessionStep::Established { server, set_up_time, since_request } => What::Stands(schema::Stands {
-            tried,
+            tried: attempt_id,
             server,
             took_us: set_up_time.micros(),
             since_taken_us: since_request.micros(),
         }),
         SessionStep::Rejected { cause, refused, retry_after_ms } => What::GivenUp(schema::GivenUp {
-            tried,
+            tried: attempt_id,
             denial: cause_record(cause).into(),
             refused,
             come_back_ms: retry_after_ms.unwrap_or(0) as u32,
@@ -69,11 +69,11 @@
         SessionStep::CallerGone { invite } => {
             let invite = invite.unwrap_or_default();
             let waited_us = invite.waited.micros();
-            What::HungUp(schema::HungUp { tried, server: invite.server, waited_us })
+            What::HungUp(schema::HungUp { tried: attempt_id, server: invite.server, waited_us })
         }
-        SessionStep::CutByServer { server } => What::Cut(schema::Cut { tried, server }),
+        SessionStep::CutByServer { server } => What::Cut(schema::Cut { tried: attempt_id, server }),
         SessionStep::Released { server, confirmed } => {
-            What::Released(schema::Released { tried, server, confirmed })
+            What::Released(schema::Released { tried: attempt_id, server, confirmed })
         }
         SessionStep::UnclaimedCallReleased { .. } => return None,
     })
@@ -121,7 +121,7 @@
     }
 }
 
-/// The state of a server as a record.
+/// Converts the state of a server to a record.
 pub fn server_record(report: ServerReport) -> What {
     let ServerReport { name, snapshot, silent_for } = report;
     What::Outlook(schema::Outlook {
@@ -132,10 +132,10 @@
         sick: snapshot.ejected,
         fresh: snapshot.warming_up,
         troubled: snapshot.last_attempt_failed,
-        flow: snapshot.setup_rate.unwrap_or(UNKNOWN_RATE),
+        flow: snapshot.setup_rate.unwrap_or(UNKNOWN_SETUP_RATE),
         free: snapshot.lines.free,
         lines: snapshot.lines.total,
-        // 0 says that nothing was ever heard.
+        // 0 means that no message of the server was ever received.
         unheard_us: silent_for.map_or(0, |span: Span| span.micros().max(1)),
     })
 }
--- a/crates/ochrelead-front/src/events.rs
+++ b/crates/ochrelead-front/src/events.rs
@@ -1,4 +1,5 @@
-//! What the engine reports for the log and the event log. The host writes it; nothing is decided by it.
+//! Events that the engine reports for the log file and the event log. The host writes them; no decision depends on
+//! them.
 
 use ochrelead_core::time::Span;
 use ochrelead_core::types::{DecisionReason, InviteOutcome, LineCapacity, RejectionCause};
@@ -18,7 +19,7 @@
     ServerRestart {
         /// The name of the server.
         name: String,
-        /// What it announced, as the event log has it.
+        /// The announced state, as it is written to the event log.
         state: &'static str,
     },
     /// A server sent its line capacity to all fronts.
@@ -28,25 +29,25 @@
         /// Its lines.
         lines: LineCapacity,
     },
-    /// The list of servers has changed: what a restarted front has to know.
+    /// The list of servers or a server's reported state has changed. It is persisted for a restart of the front.
     EndpointsChanged(Vec<ListedServer>),
     /// A message was ignored.
     MessageIgnored {
-        /// Where it came from.
+        /// The address of its sender.
         from: String,
         /// Why it was ignored.
         reason: String,
     },
-    /// This front was called so much later than it had asked for.
+    /// The engine was called later than it had requested, by this time.
     Stalled(Span),
 }
 
-/// An INVITE that was out when its caller hung up.
+/// An INVITE that was unanswered when its caller hung up.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AbandonedInvite {
     /// The name of the server.
     pub server: String,
-    /// How long it had been out.
+    /// The time since it was sent.
     pub waited: Span,
 }
 
@@ -55,33 +56,33 @@
 pub enum SessionStep {
     /// An attempt of a caller was accepted as a session.
     Accepted {
-        /// The place of the service in the configuration.
+        /// The index of the service in the configuration.
         service: usize,
-        /// The place of the tenant in the configuration, where the caller has one.
+        /// The index of the tenant in the configuration, if the caller has one.
         tenant: Option<usize>,
-        /// The number of the server of first choice.
+        /// The number of the preferred server; -1 if the numbering plan does not contain the called number.
         destination: i64,
         /// The digits that the caller dialled.
         called_number: String,
-        /// Whether the caller says that it has tried before.
+        /// Whether the caller reports that it has tried before.
         is_redial: bool,
     },
     /// An INVITE was sent.
     Invited {
         /// The name of the server.
         server: String,
-        /// Which INVITE of the session it is, from 1.
+        /// The position of this INVITE among those of the session, from 1.
         attempt: u32,
-        /// Why it was sent there, where the policy says so.
+        /// The reason for the choice of the server, if the policy gives one.
         reason: Option<DecisionReason>,
     },
     /// An INVITE ended without an established call.
     InviteEnded {
         /// The name of the server.
         server: String,
-        /// How it ended.
+        /// The outcome of the INVITE.
         outcome: InviteOutcome,
-        /// How long it was out.
+        /// The time from the INVITE to its end.
         duration: Span,
     },
     /// The call is established.
@@ -93,21 +94,21 @@
         /// The time since the caller's attempt.
         since_request: Span,
     },
-    /// The session was answered without a call.
+    /// The session got a final answer without a call.
     Rejected {
-        /// The policy's cause; none where the front itself ended the session, or the policy gives no cause.
+        /// The policy's cause; `None` if the front itself ended the session, or the policy gives no cause.
         cause: Option<RejectionCause>,
         /// Whether it was refused (busy tone); otherwise it failed (reorder tone).
         refused: bool,
-        /// When the caller may come back, in milliseconds, where it was told a time.
+        /// The time after which the caller may try again, in milliseconds, if the answer gives one.
         retry_after_ms: Option<u64>,
     },
     /// The caller hung up before the call was established.
     CallerGone {
-        /// The INVITE that was out.
+        /// The INVITE that was unanswered, if there was one.
         invite: Option<AbandonedInvite>,
     },
-    /// The server no longer has an established call.
+    /// The server has released or lost an established call.
     CutByServer {
         /// The name of the server.
         server: String,
@@ -119,7 +120,7 @@
         /// Whether the server confirmed the release.
         confirmed: bool,
     },
-    /// A call that no session holds was released at a server.
+    /// A call that belongs to no session is released at its server.
     UnclaimedCallReleased {
         /// The name of the server.
         server: String,
--- a/crates/ochrelead-front/src/host.rs
+++ b/crates/ochrelead-front/src/host.rs
@@ -1,9 +1,9 @@
-//! Sockets, clock, signals, and the files that name the servers. The host owns them and nothing else.
+//! The host: connects the engine to the socket, the clock, the signals and the endpoint files, which list the servers.
 //!
-//! One task serves: it reads what was received, lets the engine process, sends what is due, and waits for the next
-//! datagram, reading of the endpoint files, signal or time-out. Two threads write beside it, the state
-//! ([`crate::state_writer`]) and the event log; both end when [`serve`] returns. A third one watches the endpoint files
-//! where there are any.
+//! One task runs the event loop. Each iteration reads the received datagrams, calls [`Engine::process`], sends the
+//! engine's datagrams, and waits for the next datagram, change of the endpoint files, signal or time-out. Two threads
+//! write the state ([`crate::state_writer`]) and the event log; both end when [`serve`] returns. A third thread watches
+//! the endpoint files, if there are any.
 
 mod output;
 
@@ -30,15 +30,15 @@
 use crate::engine::Engine;
 use output::Output;
 
-/// Datagrams that are read before the engine processes.
-const MAX_DATAGRAMS_PER_TURN: usize = 512;
-/// The longest datagram that UDP carries.
-const MAX_DATAGRAM_LENGTH: usize = 65_536;
+/// The maximal number of datagrams that are read in one iteration of the event loop.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 512;
+/// The size of the receive buffer in bytes: a UDP datagram is shorter.
+const RECEIVE_BUFFER_LENGTH: usize = 65_536;
 
 /// The files that a front reads and writes.
 #[derive(Clone, Debug, Default)]
 pub struct FrontPaths {
-    /// An endpoint file or a folder of them; without, the servers of the configuration are the list.
+    /// An endpoint file or a folder of endpoint files; without it, the servers of the configuration are used.
     pub fleet: Option<PathBuf>,
     /// The folder of the state, the status and the counters.
     pub state: Option<PathBuf>,
@@ -53,11 +53,11 @@
     TimedOut,
 }
 
-/// Runs a front until it has left service. `new_engine` makes its engine from the configuration.
+/// Runs a front until it has drained. `new_engine` creates its engine from the configuration.
 ///
 /// # Errors
 ///
-/// Where the signals, the socket or the state folder can't be used.
+/// If the signals, the socket, the state folder or the event log's folder can't be used.
 pub async fn serve(
     config: FrontConfig,
     new_engine: impl FnOnce(FrontConfig) -> Engine,
@@ -71,7 +71,10 @@
     let reloader = paths.fleet.is_some().then(|| {
         let fleet = persisted.as_ref().and_then(PersistedEndpoints::fleet);
         if let Some(fleet) = &fleet {
-            info!(generation = fleet.generation(), "persisted endpoints in force");
+            info!(
+                generation = fleet.generation(),
+                "using persisted endpoints until the endpoint files are read"
+            );
             engine.update_endpoints(clock.now(), &fleet.servers);
         }
         EndpointReloader::new(services, fleet)
@@ -84,7 +87,7 @@
     let mut host = Host { engine, reloader, output, clock };
     host.run(&socket, readings).await?;
     host.output.close();
-    info!("out of service");
+    info!("drained; front stopped");
     Ok(())
 }
 
@@ -113,7 +116,7 @@
         let signals = Signals::new([Signal::Term, Signal::Int])?.map(|_| HostEvent::Terminate);
         let events = stream::or(signals, stream::or(endpoint_readings(readings), readability(socket)));
         futures_lite::pin!(events);
-        let mut buffer = vec![0; MAX_DATAGRAM_LENGTH];
+        let mut buffer = vec![0; RECEIVE_BUFFER_LENGTH];
         while !self.engine.is_drained() {
             self.receive_all(socket, &mut buffer);
             self.engine.process(self.clock.now());
@@ -139,13 +142,14 @@
     }
 
     fn receive_all(&mut self, socket: &Async<UdpSocket>, buffer: &mut [u8]) {
-        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             match socket.get_ref().recv_from(buffer) {
                 Ok((length, from)) => {
                     self.engine.handle_datagram(self.clock.now(), from, &buffer[..length]);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // Some systems report here that an earlier datagram met a closed port; repeats deal with that.
+                // Some systems report here that the port of an earlier datagram was closed. Retransmissions handle
+                // that.
                 Err(_) => {}
             }
         }
@@ -164,7 +168,7 @@
         let now = self.clock.now();
         let outcome = match (event, self.reloader.as_mut()) {
             (Some(HostEvent::Terminate), _) => {
-                info!("draining");
+                info!("signal received; draining");
                 self.output.record_lifecycle("drain");
                 self.engine.drain(now);
                 None
@@ -183,7 +187,7 @@
                 info!(generation, changes = changes.join(", "), "endpoints adopted");
             }
             Some(ReloadOutcome::Rejected(error)) => {
-                warn!(reason = error.to_string(), "endpoints in force stay");
+                warn!(reason = error.to_string(), "endpoint files rejected; endpoints unchanged");
             }
             None => {}
         }
@@ -193,7 +197,7 @@
 async fn send(socket: &Async<UdpSocket>, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
     match socket.get_ref().send_to(bytes, to) {
         Err(error) if error.kind() == ErrorKind::WouldBlock => socket.send_to(bytes, to).await,
-        done => done,
+        result => result,
     }
 }
 
@@ -204,12 +208,12 @@
     })
 }
 
-/// Readings of the endpoint files as a stream; one that never yields where no files are watched.
+/// The changes of the endpoint files as a stream, which never yields if no files are watched.
 fn endpoint_readings(readings: Option<Receiver<Vec<SourceFile>>>) -> impl Stream<Item = HostEvent> {
     stream::unfold(readings, |readings| async move {
         let Some(receiver) = &readings else { return future::pending().await };
         let mut files = receiver.recv().await.ok()?;
-        // Files that change faster than they can be read: only the newest reading matters.
+        // Skips superseded contents: only the newest reading matters.
         while let Ok(newer) = receiver.try_recv() {
             files = newer;
         }
--- a/crates/ochrelead-front/src/host/output.rs
+++ b/crates/ochrelead-front/src/host/output.rs
@@ -1,4 +1,4 @@
-//! What a front writes: log lines, the event log, the persisted endpoints, the status and the counters.
+//! The output of a front: log lines, the event log, the persisted endpoints, the status and the counters.
 
 use std::io;
 
@@ -16,21 +16,21 @@
 use crate::events::{EngineEvent, SessionStep};
 use crate::state_writer::StateWriter;
 
-/// A status that is late by this shows that the front stood still.
-const STALL: Span = Span::from_millis(250);
-/// How often the event log is flushed while anything happens; it is flushed with each status besides.
+/// A stall of the front is recorded if a status is written later than due by more than this.
+const STALL_THRESHOLD: Span = Span::from_millis(250);
+/// The minimal interval between two flushes of the event log, if the event loop runs; each status flushes it too.
 const FLUSH_INTERVAL: Span = Span::from_millis(200);
-/// How often the status is written.
+/// The interval at which the status is written.
 const STATUS_INTERVAL: Span = Span::from_secs(1);
 
-/// The writers of a front, each where its folder is given.
+/// The writers of a front; a writer exists if its folder is given.
 pub(super) struct Output {
     state_writer: Option<StateWriter>,
     event_log: Option<Recorder>,
     clock: Clock,
     next_status: Moment,
     next_flush: Moment,
-    /// A stall was recorded since the last status.
+    /// Whether a stall was recorded since the last status.
     has_stalled: bool,
 }
 
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// Where a folder can't be created or a thread can't be started.
+    /// If a folder can't be created or a thread can't be started.
     pub(super) fn start(paths: &FrontPaths, name: &str, clock: Clock) -> io::Result<Output> {
         let state_writer = paths.state.as_deref().map(StateWriter::start).transpose()?;
         let event_log = paths.event_log.as_deref().map(|folder| {
@@ -59,7 +59,7 @@
         Ok(output)
     }
 
-    /// Records a step of the front's process: `start`, `drain`, `stop`.
+    /// Records a step of the process's lifecycle: `start`, `drain` or `stop`.
     pub(super) fn record_lifecycle(&mut self, step: &str) {
         self.record(What::Life(step.to_owned()));
     }
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Writes the status and the counters, where they are due, and flushes the event log.
+    /// Writes the status and the counters if they are due, and flushes the event log.
     pub(super) fn write_status(&mut self, now: Moment, engine: &Engine, reloader: Option<&EndpointReloader>) {
         if now >= self.next_flush {
             self.flush(now);
@@ -111,9 +111,9 @@
         if now < self.next_status {
             return;
         }
-        // Where nothing else was due, only this shows the stall.
+        // If the engine has not reported the stall, the late status is its only sign.
         let late = now.since(self.next_status);
-        if late > STALL && !self.has_stalled {
+        if late > STALL_THRESHOLD && !self.has_stalled {
             self.record(What::PausedUs(late.micros()));
         }
         self.has_stalled = false;
@@ -144,7 +144,7 @@
         (self.state_writer.is_some() || self.event_log.is_some()).then_some(self.next_status)
     }
 
-    /// Records the stop, and waits until the state is on disk.
+    /// Records the stop, and waits until the state has been written.
     pub(super) fn close(mut self) {
         self.record_lifecycle("stop");
         if let Some(state_writer) = self.state_writer {
--- a/crates/ochrelead-front/src/lib.rs
+++ b/crates/ochrelead-front/src/lib.rs
@@ -1,13 +1,14 @@
-//! A front: a call agent (RFC 3435) that takes sessions from callers' gateways and sets them up at signalling servers.
-//! The policy of `ochrelead-core` decides where, whether again, and when to reject; nothing here does.
+//! A front: a call agent (RFC 3435) that accepts sessions from callers' gateways and sets them up at signalling
+//! servers. The policy of `ochrelead-core` selects the servers and decides on retries and rejections; this crate
+//! executes its decisions.
 //!
-//! - [`engine`]: the whole front without I/O. Datagrams, endpoint updates and the time go in; datagrams and events come
-//!   out; [`engine::Engine::poll_timeout`] says when to process again.
-//! - [`outcomes`]: what a server's response means to the policy.
+//! - [`engine`]: the front's state machine, without I/O. Its inputs are datagrams, endpoint updates and the time; its
+//!   outputs are datagrams and events. [`engine::Engine::poll_timeout`] returns when to process again.
+//! - [`outcomes`]: maps a server's response to an outcome for the policy.
 //! - [`releases`]: releases that servers have not confirmed.
-//! - [`drain`]: leaving service without losing a session.
-//! - [`events`]: what the engine reports; [`event_recording`]: its form in the event log.
-//! - [`host`]: sockets, clock, signals; [`state_writer`]: the thread that writes files. They decide nothing.
+//! - [`drain`]: the drain, in which each held session still gets its final answer.
+//! - [`events`]: the events that the engine reports; [`event_recording`]: their form in the event log.
+//! - [`host`]: the socket, the clock and the signals; [`state_writer`]: the thread that writes the state files.
 //!
 //! ```
 //! use ochrelead_core::time::{Moment, Span};
--- a/crates/ochrelead-front/src/main.rs
+++ b/crates/ochrelead-front/src/main.rs
@@ -29,9 +29,9 @@
 
 use arguments::{Arguments, Command};
 
-/// The exit code where the command line, the settings or a state folder can't be used.
+/// The exit code if the command line, the settings or a state folder can't be used.
 const EXIT_INVALID_INPUT: u8 = 2;
-/// The exit code where the program could not start to serve, or no longer.
+/// The exit code if the program could not start to serve, or had to stop serving because of an error.
 const EXIT_FAILURE: u8 = 1;
 
 fn main() -> ExitCode {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Tells why the program ends, in one line.
+/// Prints the error on standard error, in one line.
 fn fail(code: u8, error: impl Display) -> ExitCode {
     eprintln!("ochrelead-front: {error}");
     ExitCode::from(code)
@@ -75,7 +75,7 @@
         return ExitCode::SUCCESS;
     }
     let Ok(filter) = EnvFilter::try_new(&arguments.log) else {
-        return fail(EXIT_INVALID_INPUT, format_args!("--log {}: no such level", arguments.log));
+        return fail(EXIT_INVALID_INPUT, format_args!("--log {}: not a log level or filter", arguments.log));
     };
     let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(io::stderr);
     if arguments.json {
@@ -89,13 +89,12 @@
     }
 }
 
-/// Why the settings can't be used.
 #[derive(Debug, Error)]
 enum SettingsError {
     #[error("{0}")]
     Invalid(Diagnostic),
-    #[error("{}: server: with --fleet the servers are said in its files alone", .settings.display())]
-    ServersBesideFleet { settings: PathBuf },
+    #[error("{}: server: the settings must list no servers if --fleet is given", .settings.display())]
+    ServersWithFleetOption { settings: PathBuf },
 }
 
 fn read_settings(arguments: &Arguments) -> Result<FrontConfig, Vec<SettingsError>> {
@@ -104,14 +103,15 @@
         |diagnostics: Vec<_>| diagnostics.into_iter().map(SettingsError::Invalid).collect::<Vec<_>>();
     let config = front_config::open(path).map_err(invalid)?;
     if arguments.fleet.is_some() && !config.servers.is_empty() {
-        return Err(vec![SettingsError::ServersBesideFleet { settings: path.to_owned() }]);
+        return Err(vec![SettingsError::ServersWithFleetOption { settings: path.to_owned() }]);
     }
     Ok(config)
 }
 
 fn serve(mut config: FrontConfig, arguments: Arguments) -> anyhow::Result<()> {
     let clock = Clock::start();
-    // Transaction ids begin elsewhere with each process, whatever the seed: servers keep their answers to the last.
+    // The first transaction id differs in each process, even with the same seed: servers store their responses to the
+    // former process by transaction id.
     let first_transaction = Pcg64Mcg::seed_from_u64(clock.now().micros()).random();
     config.controller.seed = arguments.seed.unwrap_or(clock.now().micros());
     let socket = UdpSocket::bind(config.listen).with_context(|| format!("listen on {}", config.listen))?;
@@ -120,6 +120,6 @@
         let controller = Controller::new(&config.controller, clock.now());
         Engine::new(config, Box::new(controller), first_transaction, clock.now())
     };
-    let served = host::serve(config, start_engine, Async::new(socket)?, clock, paths);
-    future::block_on(served).context("serving")
+    let serving = host::serve(config, start_engine, Async::new(socket)?, clock, paths);
+    future::block_on(serving).context("serving")
 }
--- a/crates/ochrelead-front/src/node_command.rs
+++ b/crates/ochrelead-front/src/node_command.rs
@@ -23,14 +23,14 @@
 use crate::arguments::PeerOptions;
 use crate::{EXIT_FAILURE, EXIT_INVALID_INPUT, fail};
 
-/// Serves until the node is told to leave service. It writes nothing but its log, unless it is given a folder for its
-/// state.
+/// Serves until the node has drained after a signal. It writes only its log, and its state if a folder for it is given.
 pub(crate) fn run(config_path: &Path, options: &PeerOptions, log: &str) -> ExitCode {
     let Ok(filter) = EnvFilter::try_new(log) else {
-        return fail(EXIT_INVALID_INPUT, format_args!("--log {log}: no such level"));
+        return fail(EXIT_INVALID_INPUT, format_args!("--log {log}: not a log level or filter"));
     };
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(io::stderr).with_ansi(false).init();
-    // Before the configuration is read: it may be replaced from then on, and a signal that says so is not lost.
+    // The signal handlers are installed before the configuration is read: the file may be replaced at any time after
+    // that, and the signal to reload it must not be lost.
     let signals = match take_signals() {
         Ok(signals) => signals,
         Err(error) => return fail(EXIT_FAILURE, format_args!("signals: {error}")),
@@ -46,7 +46,7 @@
     };
     if (options.peers || options.districts) && peers.is_none() {
         warn!(
-            "serves alone: the settings allow no messages between fronts, or this front is not among the peers"
+            "no coordination: the settings allow no messages between fronts, or list no peers with this front"
         );
     }
     let controller = Controller::new(&configuration.controller_config, clock.now());
@@ -63,7 +63,7 @@
     Ok(configuration::parse(&text)?)
 }
 
-/// The coordination of a node with other fronts; `None` where the settings do not allow it.
+/// The coordination of a node with other fronts; `None` if the options or the settings do not enable it.
 fn coordination(
     configuration: &Configuration,
     options: &PeerOptions,
@@ -83,7 +83,7 @@
     if options.districts {
         match zone_settings(configuration) {
             Some(settings) => coordination.enable_zones(settings, now),
-            None => warn!("--districts has nothing to do: the settings name no district of this front"),
+            None => warn!("--districts has no effect: the settings name no zone of this front"),
         }
     }
     if !options.peers {
@@ -108,7 +108,7 @@
         .map_err(|error| anyhow::anyhow!("--voters: {error}"))
 }
 
-/// How this front acts with the others of its zone; `None` where the settings do not name its zone.
+/// The settings of the coordination among zones; `None` if the settings do not name the zone of this front.
 fn zone_settings(configuration: &Configuration) -> Option<ZoneSettings> {
     Some(ZoneSettings {
         local_zone: ZoneId(configuration.settings.local_zone()?),
@@ -119,7 +119,7 @@
     })
 }
 
-/// Opens a voter's state folder; a state that is unusable there makes the voter abstain for a while.
+/// Opens a voter's state folder. If the stored state can't be decoded, the voter abstains for a while.
 fn open_state(
     folder: &Path,
     coordination: &mut FleetCoordination,
@@ -130,7 +130,7 @@
     let stored = opened.stored.and_then(|bytes| {
         PersistedState::decode(&bytes, coordination.local_front())
             .inspect_err(
-                |error| warn!(%error, "stored voter state is unusable; this front abstains for a while"),
+                |error| warn!(%error, "stored voter state can't be decoded; this front abstains for a while"),
             )
             .ok()
     });
--- a/crates/ochrelead-front/src/outcomes.rs
+++ b/crates/ochrelead-front/src/outcomes.rs
@@ -1,10 +1,10 @@
-//! What a server's final response means to the policy (RFC 3435 section 2.4).
+//! Maps a server's final response to an outcome for the policy (RFC 3435 section 2.4).
 
 use ochrelead_core::time::Span;
 use ochrelead_core::types::{InviteOutcome, LineCapacity, LoadReport};
 use ochrelead_mgcp::message::{Parameters, Response, code, parameter};
 
-/// The outcome of an INVITE by the final response to it; none where the call is established.
+/// The outcome of an INVITE with this final response; `None` if the call is established.
 pub fn from_response(response: &Response) -> Option<InviteOutcome> {
     match response.code {
         200..=299 => None,
@@ -17,28 +17,29 @@
         code::NO_RESOURCES | code::NO_ENDPOINT => {
             Some(InviteOutcome::Rejected { no_line: true, retry_after: None })
         }
-        // The called line is off hook: busy for everybody, and not the server's fault.
+        // The called line is off hook: it is busy at every server, and the server is not at fault.
         code::OFF_HOOK => Some(InviteOutcome::Failed { lines_busy: true }),
-        // The restart cuts what was begun; the release is awaited as after any reset.
+        // The restart ends calls that are being set up; the policy awaits the release as after any reset.
         code::RESTARTING | code::ABORTED | code::ENDPOINT_RESTARTING => Some(InviteOutcome::Reset),
         code::TIMED_OUT => Some(InviteOutcome::TimedOut),
         _ => Some(InviteOutcome::Failed { lines_busy: false }),
     }
 }
 
-/// The lines of a server, `free/total`, where its message has them. More free lines than there are in all are ignored.
+/// Parses a server's line capacity, `free/total`; `None` if it is absent, malformed, or has more free lines than lines
+/// in total.
 pub fn parse_lines(parameters: &Parameters) -> Option<LineCapacity> {
     let (free, total) = parameters.get(parameter::LINE_CAPACITY)?.split_once('/')?;
     let lines = LineCapacity { free: free.trim().parse().ok()?, total: total.trim().parse().ok()? };
     (lines.free <= lines.total).then_some(lines)
 }
 
-/// What a server reports of its load; a figure that is out of its range is ignored.
+/// Parses a server's load report; values out of their range are ignored.
 pub fn parse_load_report(parameters: &Parameters) -> LoadReport {
-    let parse_figure =
-        |name: &str| parameters.parse::<f64>(name).filter(|figure| figure.is_finite() && *figure >= 0.0);
+    let parse_value =
+        |name: &str| parameters.parse::<f64>(name).filter(|value| value.is_finite() && *value >= 0.0);
     LoadReport {
-        accepted_rate: parse_figure(parameter::ACCEPTED_RATE),
-        hold_back_share: parse_figure(parameter::HOLD_BACK_SHARE).filter(|share| *share <= 1.0),
+        accepted_rate: parse_value(parameter::ACCEPTED_RATE),
+        hold_back_share: parse_value(parameter::HOLD_BACK_SHARE).filter(|share| *share <= 1.0),
     }
 }
--- a/crates/ochrelead-front/src/releases.rs
+++ b/crates/ochrelead-front/src/releases.rs
@@ -1,6 +1,7 @@
-//! Releases that servers have not confirmed. A call that is never released stays at its server for ever: a release that
-//! gets no response is sent again, and an INVITE that was cancelled and never answered may still be on its way, so it
-//! is cancelled once more. State only; the engine sends, and reports what came of it.
+//! Releases that servers have not confirmed. A call that is never released occupies its server for ever. Therefore a
+//! release without a response is sent again, and an INVITE that was cancelled and not answered is cancelled once more,
+//! because it may reach the server after its first release. This module keeps the state only: the engine sends the
+//! releases and reports their outcomes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -9,9 +10,10 @@
 use ochrelead_mgcp::message::{Endpoint, TransactionId};
 use ochrelead_mgcp::transaction::TransactionConfig;
 
-/// How often a release is sent again, each time with all repeats of a transaction.
+/// The number of new transactions in which a release without a response is sent again. Each of them has all
+/// retransmissions of a transaction.
 const MAX_RESENDS: u8 = 2;
-/// Releases that are tracked at once; of further ones no confirmation is awaited.
+/// The maximal number of releases that are tracked. Further releases are sent once and not tracked.
 const MAX_RELEASES: usize = 16_384;
 
 /// One release: of a connection, or of all connections of a call.
@@ -21,42 +23,42 @@
     pub to: SocketAddr,
     /// The endpoint, or the wildcard of a trunk group.
     pub endpoint: Endpoint,
-    /// The call to release, where it is named.
+    /// The call id, if the release names one.
     pub call: Option<String>,
-    /// The connection to release, where it is named.
+    /// The connection id, if the release names one.
     pub connection: Option<String>,
-    /// The INVITE that it cancels.
+    /// The INVITE that the release cancels, if any.
     pub invite: Option<TransactionId>,
     resends: u8,
 }
 
 impl Release {
-    /// A release that cancels no INVITE.
+    /// Creates a release that cancels no INVITE.
     pub fn new(to: SocketAddr, endpoint: Endpoint, call: Option<&str>, connection: Option<&str>) -> Release {
         let (call, connection) = (call.map(str::to_owned), connection.map(str::to_owned));
         Release { to, endpoint, call, connection, invite: None, resends: 0 }
     }
 
-    /// The same release, cancelling this INVITE.
+    /// Marks the release as the cancellation of this INVITE.
     pub fn of_invite(self, invite: TransactionId) -> Release {
         Release { invite: Some(invite), ..self }
     }
 }
 
-/// All releases that are not confirmed.
+/// The releases that are not confirmed, both those that were sent and those that are scheduled to be sent again.
 #[derive(Debug)]
 pub struct PendingReleases {
     initial_rto: Span,
     max_rto: Span,
     sent: HashMap<TransactionId, Release>,
     scheduled: BTreeMap<(Moment, u64), Release>,
-    /// INVITEs that were cancelled and have not been answered.
+    /// INVITEs that were cancelled and not answered.
     cancelled_invites: HashSet<TransactionId>,
     last_scheduled: u64,
 }
 
 impl PendingReleases {
-    /// No releases; `config` is that of the transaction layer.
+    /// Creates an empty set; `config` is that of the transaction layer.
     pub fn new(config: &TransactionConfig) -> PendingReleases {
         PendingReleases {
             initial_rto: config.initial_rto,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// A release was sent.
+    /// Records a release that was sent.
     pub fn on_sent(&mut self, transaction: TransactionId, release: Release) {
         if self.unconfirmed() < MAX_RELEASES {
             self.cancelled_invites.extend(release.invite);
@@ -76,18 +78,18 @@
         }
     }
 
-    /// The server has confirmed a release.
+    /// Handles a server's confirmation of a release.
     pub fn on_confirmed(&mut self, now: Moment, transaction: TransactionId) {
         let Some(release) = self.sent.remove(&transaction) else { return };
         if let Some(invite) = release.invite
             && self.cancelled_invites.remove(&invite)
         {
-            // The order on the way is not known: the INVITE may arrive after its release.
+            // Datagrams may be reordered: the INVITE may arrive after its release.
             self.schedule(now + self.initial_rto, Release { invite: None, ..release });
         }
     }
 
-    /// The server has not responded to a release.
+    /// Handles a release that timed out without a response.
     pub fn on_unanswered(&mut self, now: Moment, transaction: TransactionId) {
         let Some(release) = self.sent.remove(&transaction) else { return };
         if let Some(invite) = release.invite {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// An INVITE that was cancelled was answered after all.
+    /// Handles the late answer to an INVITE that was cancelled; it needs no second cancellation.
     pub fn on_invite_answered(&mut self, invite: TransactionId) {
         self.cancelled_invites.remove(&invite);
     }
@@ -109,23 +111,23 @@
         self.scheduled.insert((due, self.last_scheduled), release);
     }
 
-    /// The next release that is to be sent again now.
+    /// Takes the next release that is due to be sent again.
     pub fn next_due(&mut self, now: Moment) -> Option<Release> {
         let entry = self.scheduled.first_entry().filter(|entry| entry.key().0 <= now)?;
         Some(entry.remove())
     }
 
-    /// When the next release is to be sent again.
+    /// When the next release is due to be sent again.
     pub fn poll_timeout(&self) -> Option<Moment> {
         self.scheduled.first_key_value().map(|((due, _), _)| *due)
     }
 
-    /// Releases that will be sent again.
+    /// The number of releases that are scheduled to be sent again.
     pub fn scheduled(&self) -> usize {
         self.scheduled.len()
     }
 
-    /// Releases that are not confirmed.
+    /// The number of releases that are not confirmed, both sent and scheduled.
     pub fn unconfirmed(&self) -> usize {
         self.sent.len() + self.scheduled.len()
     }
--- a/crates/ochrelead-front/src/state_writer.rs
+++ b/crates/ochrelead-front/src/state_writer.rs
@@ -1,5 +1,6 @@
-//! The thread that writes a front's state to disk: sessions never wait for it. Of each file only the newest content
-//! matters. The thread ends when its [`StateWriter`] is closed; a write that fails is logged, and the next one is tried.
+//! The thread that writes a front's state to disk, so that sessions never wait for the disk. If several writes of a
+//! file are queued, only the newest content is written. A failed write is logged, and the next one is attempted. The
+//! thread ends when its [`StateWriter`] is closed.
 
 use std::io;
 use std::path::Path;
@@ -12,13 +13,12 @@
 use ochrelead_host::{COUNTERS, STATUS};
 use tracing::warn;
 
-/// What is to be written.
 enum StateWrite {
     Endpoints(PersistedEndpoints),
     Status { status: String, counters: String },
 }
 
-/// Hands writes over to the thread.
+/// Passes writes to the thread.
 pub struct StateWriter {
     writes: Sender<StateWrite>,
     thread: JoinHandle<()>,
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// Where the folder can't be created or the thread can't be started.
+    /// If the folder can't be created or the thread can't be started.
     pub fn start(path: &Path) -> io::Result<StateWriter> {
         let folder = StateFolder::open(path)?;
         let (writes, queue) = mpsc::channel();
@@ -38,7 +38,7 @@
         Ok(StateWriter { writes, thread })
     }
 
-    /// Writes the endpoints in force, to survive a restart.
+    /// Writes the endpoints in use, which are restored after a restart.
     pub fn write_endpoints(&self, endpoints: PersistedEndpoints) {
         self.send(StateWrite::Endpoints(endpoints));
     }
@@ -49,11 +49,11 @@
     }
 
     fn send(&self, write: StateWrite) {
-        // The thread receives for as long as the sender lives.
+        // Can't fail: the thread receives until the sender is dropped.
         let _ = self.writes.send(write);
     }
 
-    /// Waits until all is on disk.
+    /// Waits until all queued writes are done.
     pub fn close(self) {
         drop(self.writes);
         let _ = self.thread.join();
@@ -69,13 +69,14 @@
                 StateWrite::Status { status, counters } => newest_status = Some((status, counters)),
             }
         }
-        let saved = newest_endpoints.map_or(Ok(()), |endpoints| store::save(&mut folder, &endpoints));
-        let shown = newest_status.map_or(Ok(()), |(status, counters)| {
+        let endpoints_result =
+            newest_endpoints.map_or(Ok(()), |endpoints| store::save(&mut folder, &endpoints));
+        let status_result = newest_status.map_or(Ok(()), |(status, counters)| {
             replace(&mut folder, STATUS, status.as_bytes(), Durability::Unsynced)
                 .and_then(|()| replace(&mut folder, COUNTERS, counters.as_bytes(), Durability::Unsynced))
         });
-        if let Err(error) = saved.and(shown) {
-            warn!(%error, "state could not be written");
+        if let Err(error) = endpoints_result.and(status_result) {
+            warn!(%error, "state files could not be written");
         }
     }
 }
