--- a/crates/ochrelead-front/src/arguments.rs
+++ b/crates/ochrelead-front/src/arguments.rs
@@ -22,7 +22,7 @@
     /// The settings file, in protobuf text format (schema Front)
     #[arg(long, value_name = "FILE", required = true)]
     pub(crate) settings: Option<PathBuf>,
-    /// A file that lists the servers, or a folder of such files, watched for changes; replaces the settings' servers
+    /// A file that lists the servers, or a folder of such files, watched for changes [default: the settings' servers]
     #[arg(long, value_name = "PATH")]
     pub(crate) fleet: Option<PathBuf>,
     /// The folder for the last server list, the status and the counters
--- a/crates/ochrelead-front/tests/engine/helper.rs
+++ b/crates/ochrelead-front/tests/engine/helper.rs
@@ -1,4 +1,5 @@
-//! An engine, and short forms for what its peers send and receive.
+//! An engine under test, with methods for the messages that its peers send, and summaries of the messages that they
+//! receive.
 
 use std::net::SocketAddr;
 
@@ -19,7 +20,7 @@
 server { name: "s1" address: "127.0.0.1:11" number: 1 dialled: "01" }
 "#;
 
-/// What a front has sent, in short.
+/// A message that the front has sent.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Sent {
     Command(Verb, SocketAddr, Command),
@@ -28,10 +29,10 @@
 
 pub(crate) struct Front {
     pub(crate) engine: Engine,
-    /// Each command is seen once, however often it is repeated.
-    seen: Vec<u32>,
-    /// The datagrams of INVITEs that have left, repeats and all.
-    pub(crate) invites: u32,
+    /// The transaction ids of the commands that were sent: retransmissions are left out of the results.
+    sent_transactions: Vec<u32>,
+    /// The number of datagrams with an INVITE that were sent, retransmissions included.
+    pub(crate) invite_datagrams: u32,
     last_transaction: u32,
 }
 
@@ -48,13 +49,13 @@
 }
 
 impl Front {
-    pub(crate) fn start(first: u32) -> Front {
+    pub(crate) fn start(first_transaction: u32) -> Front {
         let config = front_config::parse("test", SETTINGS).unwrap();
         let policy = Controller::new(&config.controller, at(0));
         Front {
-            engine: Engine::new(config, Box::new(policy), first, at(0)),
-            seen: Vec::new(),
-            invites: 0,
+            engine: Engine::new(config, Box::new(policy), first_transaction, at(0)),
+            sent_transactions: Vec::new(),
+            invite_datagrams: 0,
             last_transaction: 0,
         }
     }
@@ -63,14 +64,15 @@
         self.engine.handle_datagram(at(ms), from, bytes);
     }
 
-    /// Runs the front up to a moment and returns what it has sent, repeats left out.
-    pub(crate) fn sent(&mut self, ms: u64) -> Vec<Sent> {
+    /// Calls [`Engine::process`] at this time and returns the messages that were sent, without retransmissions.
+    pub(crate) fn process_at(&mut self, ms: u64) -> Vec<Sent> {
         let mut sent = Vec::new();
         self.process(ms, &mut sent);
         sent
     }
 
-    /// Runs the front from one moment to another, called when it asks for it.
+    /// Runs the front over a period: processes at its start, at its end, and whenever a time-out of the engine is due.
+    /// Returns the messages that were sent, without retransmissions.
     pub(crate) fn run(&mut self, from: u64, to: u64) -> Vec<Sent> {
         let mut sent = Vec::new();
         for ms in from..=to {
@@ -84,11 +86,11 @@
     fn process(&mut self, ms: u64, sent: &mut Vec<Sent>) {
         self.engine.process(at(ms));
         while let Some((to, bytes)) = self.engine.poll_datagram() {
-            self.invites += u32::from(bytes.starts_with(b"CRCX "));
+            self.invite_datagrams += u32::from(bytes.starts_with(b"CRCX "));
             match parse::datagram(&bytes).unwrap().remove(0).unwrap() {
-                Message::Command(command) if self.seen.contains(&command.transaction) => {}
+                Message::Command(command) if self.sent_transactions.contains(&command.transaction) => {}
                 Message::Command(command) => {
-                    self.seen.push(command.transaction);
+                    self.sent_transactions.push(command.transaction);
                     sent.push(Sent::Command(command.verb, to, command));
                 }
                 Message::Response(response) => sent.push(Sent::Response(response.code, response.transaction)),
@@ -100,8 +102,9 @@
         std::iter::from_fn(|| self.engine.poll_event()).collect()
     }
 
-    /// A command of a peer, with a transaction id of its own.
-    pub(crate) fn ask(&mut self, ms: u64, from: SocketAddr, line: &str, parameters: &str) -> u32 {
+    /// Receives a command of a peer under a new transaction id, and returns that id. `line` is the verb and the
+    /// endpoint; the parameter lines are separated by `|`.
+    pub(crate) fn receive_command(&mut self, ms: u64, from: SocketAddr, line: &str, parameters: &str) -> u32 {
         self.last_transaction += 1;
         let (verb, endpoint) = line.split_once(' ').unwrap();
         let bytes = format!(
@@ -113,26 +116,26 @@
         self.last_transaction
     }
 
-    /// A caller's attempt at a number of the service and server named by its digits.
+    /// Receives a caller's attempt; its digits name the service and the server.
     pub(crate) fn dial(&mut self, ms: u64, attempt: &str, digits: &str) -> u32 {
         let events: Vec<String> = digits.chars().map(|digit| format!("D/{digit}")).collect();
         let parameters = format!("X-Try: {attempt}|I: c{attempt}|O: L/hd, {}", events.join(", "));
-        self.ask(ms, gateway(), "NTFY norte/1@g", &parameters)
+        self.receive_command(ms, gateway(), "NTFY norte/1@g", &parameters)
     }
 
     pub(crate) fn hang_up(&mut self, ms: u64, attempt: &str) -> u32 {
-        self.ask(ms, gateway(), "NTFY norte/1@g", &format!("X-Try: {attempt}|O: L/hu"))
+        self.receive_command(ms, gateway(), "NTFY norte/1@g", &format!("X-Try: {attempt}|O: L/hu"))
     }
 
-    /// Dials, and returns the INVITE's transaction and server.
-    pub(crate) fn invited(&mut self, ms: u64, attempt: &str) -> (u32, SocketAddr) {
+    /// Dials, and returns the transaction id and the destination of the INVITE that is sent.
+    pub(crate) fn dial_and_take_invite(&mut self, ms: u64, attempt: &str) -> (u32, SocketAddr) {
         self.dial(ms, attempt, "1004711");
-        let sent = self.sent(ms);
-        invite(&sent).unwrap_or_else(|| panic!("no INVITE in {sent:?}"))
+        let sent = self.process_at(ms);
+        first_invite(&sent).unwrap_or_else(|| panic!("no INVITE in {sent:?}"))
     }
 
-    /// A server's answer to a set-up.
-    pub(crate) fn establish(&mut self, ms: u64, from: SocketAddr, transaction: u32, circuit: u32) {
+    /// Receives a server's response that establishes a call on this circuit.
+    pub(crate) fn respond_established(&mut self, ms: u64, from: SocketAddr, transaction: u32, circuit: u32) {
         let name = if from == server(0) { "s0" } else { "s1" };
         let response = Response::new(code::DONE, transaction)
             .with("I", format!("i{circuit}"))
@@ -145,22 +148,22 @@
     }
 }
 
-/// The first INVITE among what was sent.
-pub(crate) fn invite(sent: &[Sent]) -> Option<(u32, SocketAddr)> {
+/// The transaction id and the destination of the first INVITE among the sent messages.
+pub(crate) fn first_invite(sent: &[Sent]) -> Option<(u32, SocketAddr)> {
     sent.iter().find_map(|sent| match sent {
         Sent::Command(Verb::CreateConnection, to, command) => Some((command.transaction, *to)),
         _ => None,
     })
 }
 
-/// How often each verb went out.
-pub(crate) fn count(sent: &[Sent], verb: Verb) -> usize {
+/// The number of sent commands with this verb.
+pub(crate) fn count_commands(sent: &[Sent], verb: Verb) -> usize {
     sent.iter().filter(|sent| matches!(sent, Sent::Command(sent_verb, _, _) if *sent_verb == verb)).count()
 }
 
-/// The final answers that callers were given: established, busy, failed.
-pub(crate) fn answers(sent: &[Sent]) -> Vec<&'static str> {
-    let answer = |sent: &Sent| match sent {
+/// The final answers that were sent to callers: established, busy, failed.
+pub(crate) fn final_answers(sent: &[Sent]) -> Vec<&'static str> {
+    let final_answer = |sent: &Sent| match sent {
         Sent::Command(Verb::ModifyConnection, ..) => Some("established"),
         Sent::Command(Verb::NotificationRequest, _, command) => match command.parameters.get("S") {
             Some("L/bz") => Some("busy"),
@@ -169,5 +172,5 @@
         },
         _ => None,
     };
-    sent.iter().filter_map(answer).collect()
+    sent.iter().filter_map(final_answer).collect()
 }
--- a/crates/ochrelead-front/tests/engine/main.rs
+++ b/crates/ochrelead-front/tests/engine/main.rs
@@ -1,4 +1,4 @@
-//! The engine between one gateway and servers that answer as each test has them answer.
+//! The engine with one gateway and two servers, whose messages each test supplies.
 
 mod drain;
 mod helper;
--- a/crates/ochrelead-front/tests/engine/servers.rs
+++ b/crates/ochrelead-front/tests/engine/servers.rs
@@ -1,67 +1,78 @@
-//! Servers that restart, drain, move or leave the list.
+//! Servers that restart, drain, change their address or are removed from the list.
 
 use ochrelead_front::events::EngineEvent;
 use ochrelead_mgcp::message::Verb;
 use test_case::test_case;
 
-use crate::helper::{Front, SETTINGS, Sent, answers, at, count, gateway, invite, server};
+use crate::helper::{
+    Front, SETTINGS, Sent, at, count_commands, final_answers, first_invite, gateway, server,
+};
 
-#[test_case("forced", 1; "forced")]
+#[test_case("forced", 1; "forced shutdown")]
 #[test_case("restart", 1; "restarted on the same address")]
-fn server_restart_in_the_middle_of_set_ups_ends_its_calls(method: &str, redone: usize) {
+fn server_restart_ends_its_calls_and_retries_open_set_ups(method: &str, retries: usize) {
     let mut front = Front::start(100);
-    let (standing, _) = front.invited(0, "a1");
-    front.establish(20, server(0), standing, 5);
-    let (lost, _) = front.invited(30, "a2");
-    front.ask(40, server(0), "RSIP *@s0", &format!("RM: {method}"));
+    let (established, _) = front.dial_and_take_invite(0, "a1");
+    front.respond_established(20, server(0), established, 5);
+    let (open_invite, _) = front.dial_and_take_invite(30, "a2");
+    front.receive_command(40, server(0), "RSIP *@s0", &format!("RM: {method}"));
     let sent = front.run(40, 239);
-    assert_eq!(invite(&sent), None, "the release is awaited");
-    let cut = sent.iter().any(|sent| {
+    assert_eq!(first_invite(&sent), None, "the release is awaited");
+    let caller_released = sent.iter().any(|sent| {
         matches!(sent, Sent::Command(Verb::DeleteConnection, to, c)
             if *to == gateway() && c.parameters.get("C") == Some("a1"))
     });
-    assert!(cut, "the caller of the call that stood is told: {sent:?}");
-    let again = front.run(240, 260);
-    assert_eq!((count(&again, Verb::CreateConnection), invite(&again).unwrap().1), (redone, server(1)));
-    // The old process's answer means nothing any more, but what it says is set up is taken down.
-    front.establish(270, server(0), lost, 6);
-    let sent = front.sent(270);
-    assert_eq!((count(&sent, Verb::DeleteConnection), answers(&sent).len()), (1, 0));
+    assert!(caller_released, "the caller of the established call gets a DLCX: {sent:?}");
+    let retried = front.run(240, 260);
+    assert_eq!(
+        (count_commands(&retried, Verb::CreateConnection), first_invite(&retried).unwrap().1),
+        (retries, server(1))
+    );
+    // A late answer of the former process gets no final answer for the caller, but its call is released.
+    front.respond_established(270, server(0), open_invite, 6);
+    let sent = front.process_at(270);
+    assert_eq!((count_commands(&sent, Verb::DeleteConnection), final_answers(&sent).len()), (1, 0));
 }
 
 #[test]
-fn draining_server_gets_no_invite_for_an_attempt_queued_before() {
+fn draining_server_gets_no_invite_for_an_attempt_received_before_the_announcement() {
     let mut front = Front::start(100);
-    // Both wait in the socket: the host takes all before it turns.
+    // The host reads all datagrams that wait in the socket before it calls `process`.
     front.dial(10, "a1", "1004711");
-    front.ask(10, server(0), "RSIP *@s0", "RM: graceful|RD: 5");
-    assert_eq!(invite(&front.sent(10)).unwrap().1, server(1));
-    front.ask(20, server(0), "RSIP *@s0", "RM: cancel-graceful");
-    assert_eq!(front.invited(600, "a2").1, server(0), "back in service");
+    front.receive_command(10, server(0), "RSIP *@s0", "RM: graceful|RD: 5");
+    assert_eq!(first_invite(&front.process_at(10)).unwrap().1, server(1));
+    front.receive_command(20, server(0), "RSIP *@s0", "RM: cancel-graceful");
+    assert_eq!(front.dial_and_take_invite(600, "a2").1, server(0), "back in service");
 }
 
 #[test]
-fn release_by_the_server_reaches_the_caller_and_frees_the_session() {
+fn release_by_the_server_releases_the_caller_side_and_ends_the_session() {
     let mut front = Front::start(100);
-    let (transaction, to) = front.invited(0, "a1");
-    front.establish(20, to, transaction, 5);
-    front.sent(20);
-    front.ask(500, server(1), "DLCX trunk/5@s1", "C: a1");
-    let Sent::Response(516, _) = front.sent(500)[0] else { panic!("not this server's call") };
-    front.ask(510, to, "DLCX trunk/5@s0", "C: a1|E: 900");
-    let sent = front.sent(510);
+    let (transaction, to) = front.dial_and_take_invite(0, "a1");
+    front.respond_established(20, to, transaction, 5);
+    front.process_at(20);
+    front.receive_command(500, server(1), "DLCX trunk/5@s1", "C: a1");
+    let Sent::Response(516, _) = front.process_at(500)[0] else {
+        panic!("expected 516: the call is not at this server")
+    };
+    front.receive_command(510, to, "DLCX trunk/5@s0", "C: a1|E: 900");
+    let sent = front.process_at(510);
     assert!(matches!(sent[0], Sent::Response(250, _)));
     assert_eq!(
-        (count(&sent, Verb::DeleteConnection), answers(&sent).len(), front.engine.load().sessions),
+        (
+            count_commands(&sent, Verb::DeleteConnection),
+            final_answers(&sent).len(),
+            front.engine.load().sessions
+        ),
         (1, 0, 0)
     );
 }
 
 #[test]
-fn endpoint_change_is_reported() {
+fn restart_is_reported_only_if_the_server_itself_announces_it() {
     let mut front = Front::start(100);
     front.events();
-    front.ask(10, server(1), "RSIP *@s1", "RM: restart");
+    front.receive_command(10, server(1), "RSIP *@s1", "RM: restart");
     let lists: Vec<_> = front
         .events()
         .into_iter()
@@ -70,76 +81,76 @@
         )
         .collect();
     assert_eq!(lists[0][1].endpoint.started, Some(at(10)));
-    front.ask(20, gateway(), "RSIP *@s1", "RM: forced");
-    front.sent(20);
+    front.receive_command(20, gateway(), "RSIP *@s1", "RM: forced");
+    front.process_at(20);
     assert!(
         !front.events().iter().any(|event| matches!(event, EngineEvent::EndpointsChanged(_))),
-        "only the server itself is believed"
+        "an RSIP from another address must be ignored"
     );
 }
 
 #[test]
-fn call_is_released_at_its_process_after_servers_swapped_addresses() {
+fn call_is_released_at_its_process_after_servers_exchanged_addresses() {
     let mut front = Front::start(100);
-    let (transaction, to) = front.invited(0, "a1");
-    front.establish(20, to, transaction, 5);
-    front.sent(20);
-    let mut posts = ochrelead_config::front_config::parse("test", SETTINGS).unwrap().servers;
-    (posts[0].address, posts[1].address) = (posts[1].address, posts[0].address);
-    front.engine.update_endpoints(at(100), &posts);
+    let (transaction, to) = front.dial_and_take_invite(0, "a1");
+    front.respond_established(20, to, transaction, 5);
+    front.process_at(20);
+    let mut endpoints = ochrelead_config::front_config::parse("test", SETTINGS).unwrap().servers;
+    (endpoints[0].address, endpoints[1].address) = (endpoints[1].address, endpoints[0].address);
+    front.engine.update_endpoints(at(100), &endpoints);
     front.hang_up(200, "a1");
-    let sent = front.sent(200);
+    let sent = front.process_at(200);
     let Sent::Command(Verb::DeleteConnection, to, release) = &sent[1] else { panic!("{sent:?}") };
     assert_eq!((*to, release.endpoint.to_string().as_str()), (server(0), "trunk/5@s0"));
-    // What comes is set up at the new address of its destination.
+    // A new call is set up at the new address of its server.
     front.dial(300, "a2", "1004711");
-    assert_eq!(invite(&front.sent(300)).unwrap().1, server(1));
+    assert_eq!(first_invite(&front.process_at(300)).unwrap().1, server(1));
 }
 
 #[test]
-fn empty_list_rejects_every_session_at_once() {
+fn session_is_rejected_at_once_if_the_server_list_is_empty() {
     let mut front = Front::start(100);
     front.engine.update_endpoints(at(0), &[]);
     front.dial(10, "a1", "1004711");
-    let sent = front.sent(10);
-    assert_eq!((answers(&sent), invite(&sent)), (vec!["busy"], None));
+    let sent = front.process_at(10);
+    assert_eq!((final_answers(&sent), first_invite(&sent)), (vec!["busy"], None));
 }
 
 #[test]
-fn call_established_just_before_a_late_restart_is_released() {
+fn call_established_shortly_before_a_restart_announcement_is_released() {
     let mut front = Front::start(100);
-    let (first, to) = front.invited(0, "a1");
-    front.establish(30, to, first, 5);
-    front.sent(30);
+    let (first, to) = front.dial_and_take_invite(0, "a1");
+    front.respond_established(30, to, first, 5);
+    front.process_at(30);
     front.run(31, 4_990);
-    let (second, to) = front.invited(5_000, "a2");
-    front.establish(5_030, to, second, 6);
-    front.sent(5_030);
-    front.ask(5_100, to, "RSIP *@s0", "RM: restart");
-    let sent = front.sent(5_100);
-    let at_server: Vec<String> = sent
+    let (second, to) = front.dial_and_take_invite(5_000, "a2");
+    front.respond_established(5_030, to, second, 6);
+    front.process_at(5_030);
+    front.receive_command(5_100, to, "RSIP *@s0", "RM: restart");
+    let sent = front.process_at(5_100);
+    let released_at_server: Vec<String> = sent
         .iter()
         .filter_map(|sent| match sent {
-            Sent::Command(Verb::DeleteConnection, whom, command) if *whom == to => {
+            Sent::Command(Verb::DeleteConnection, destination, command) if *destination == to => {
                 Some(command.endpoint.to_string())
             }
             _ => None,
         })
         .collect();
-    assert_eq!(at_server, ["trunk/6@s0"], "the older one went with the old process: {sent:?}");
+    assert_eq!(released_at_server, ["trunk/6@s0"], "the older call ended with the former process: {sent:?}");
 }
 
 #[test]
 fn send_failure_to_an_old_address_does_not_end_the_invite() {
     let mut front = Front::start(100);
-    let mut posts = ochrelead_config::front_config::parse("test", SETTINGS).unwrap().servers;
-    posts[0].address = server(7);
-    front.engine.update_endpoints(at(0), &posts);
+    let mut endpoints = ochrelead_config::front_config::parse("test", SETTINGS).unwrap().servers;
+    endpoints[0].address = server(7);
+    front.engine.update_endpoints(at(0), &endpoints);
     front.dial(100, "a1", "1004711");
-    let (transaction, to) = invite(&front.sent(100)).expect("set up at the new address");
+    let (transaction, to) = first_invite(&front.process_at(100)).expect("no INVITE was sent");
     assert_eq!(to, server(7));
     front.engine.on_send_failed(at(110), server(0));
-    assert_eq!(answers(&front.sent(110)).len(), 0);
-    front.establish(120, to, transaction, 5);
-    assert_eq!(answers(&front.sent(120)), ["established"]);
+    assert_eq!(final_answers(&front.process_at(110)).len(), 0);
+    front.respond_established(120, to, transaction, 5);
+    assert_eq!(final_answers(&front.process_at(120)), ["established"]);
 }
--- a/crates/ochrelead-front/tests/program.rs
+++ b/crates/ochrelead-front/tests/program.rs
@@ -1,4 +1,5 @@
-//! The program through kills: a front serves within a second from what it kept, and says what it is doing.
+//! The program as a process: a killed front serves again within a second from its state folder, `status` prints its
+//! state, and invalid settings are reported.
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddrV4, UdpSocket};
@@ -7,10 +8,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest wait for anything.
+/// The maximal time to wait for a condition.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_ochrelead-front");
 
+/// A working folder with the files of one front, and sockets for its peers.
 struct FrontFolder {
     path: PathBuf,
     listen: SocketAddrV4,
@@ -39,7 +41,8 @@
             socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
             socket
         };
-        // An address of its own, so that no other process takes the port between two lives of the front.
+        // Each test has a different loopback address, by the length of its name, so that no other process takes the
+        // port while the front is restarted.
         let host = (std::process::id() % 250) as u8 + 1;
         let listen = SocketAddrV4::new(Ipv4Addr::new(127, 17, name.len() as u8, host), 2727);
         let settings = format!(
@@ -69,23 +72,25 @@
         RunningFront(self.command(&arguments).spawn().unwrap())
     }
 
-    /// Starts the front and waits until it sets up calls: a call that comes before its files are read is rejected.
+    /// Starts the front and waits until it sets up calls: a front rejects calls until it has read its fleet files.
     fn start_serving(&mut self) -> RunningFront {
         let front = self.start();
         let started_at = Instant::now();
         while self.dial(MAX_WAIT).0 != "CRCX" {
-            assert!(started_at.elapsed() < MAX_WAIT, "it sets up no call");
+            assert!(started_at.elapsed() < MAX_WAIT, "front set up no call within {MAX_WAIT:?}");
         }
         front
     }
 
-    /// Dials until the server sees an INVITE or the caller a tone; what came first, and after how long.
+    /// Dials until the server receives an INVITE or the caller a tone. Returns the verb of the command that was
+    /// received first (`none` after `max_wait`), and the time until then.
     fn dial(&mut self, max_wait: Duration) -> (String, Duration) {
-        let (line, took) = self.dial_for(max_wait);
+        let (line, took) = self.dial_for_command_line(max_wait);
         (line[..4].to_owned(), took)
     }
 
-    fn dial_for(&mut self, max_wait: Duration) -> (String, Duration) {
+    /// Like [`FrontFolder::dial`], but returns the whole first line of the command.
+    fn dial_for_command_line(&mut self, max_wait: Duration) -> (String, Duration) {
         self.discard_received();
         let started_at = Instant::now();
         let mut buffer = [0; 2_048];
@@ -108,7 +113,7 @@
         ("none".to_owned(), started_at.elapsed())
     }
 
-    /// Drops what was sent in answer to earlier attempts.
+    /// Discards the datagrams that were received because of earlier attempts.
     fn discard_received(&self) {
         let mut buffer = [0; 2_048];
         for socket in [&self.server, &self.callers] {
@@ -116,7 +121,7 @@
         }
     }
 
-    /// Waits until the adopted list is on disk.
+    /// Waits until the adopted list is persisted.
     fn wait_until_persisted(&self) {
         let started_at = Instant::now();
         while !self.path.join("state/kept").exists() && started_at.elapsed() < MAX_WAIT {
@@ -130,7 +135,7 @@
 }
 
 #[test]
-fn killed_front_serves_from_its_state_folder_without_the_files() {
+fn killed_front_serves_from_its_state_folder_within_a_second_without_fleet_files() {
     let mut folder = FrontFolder::new("store");
     folder.write_fleet(3);
     let front = folder.start_serving();
@@ -138,63 +143,67 @@
     drop(front);
     fs::remove_dir_all(folder.path.join("fleet")).unwrap();
     let _front = folder.start();
-    let (seen, took) = folder.dial(MAX_WAIT);
-    assert!(seen == "CRCX" && took < Duration::from_secs(1), "{seen} after {took:?}");
+    let (verb, took) = folder.dial(MAX_WAIT);
+    assert!(verb == "CRCX" && took < Duration::from_secs(1), "{verb} after {took:?}");
 }
 
-/// A server keeps its answers for a while: an id of the former process would be answered with the former call.
+/// Servers store their responses by transaction id for a while: if a restarted front reused an id, it would get the
+/// response to the former process's command.
 #[test]
-fn restart_with_the_same_seed_uses_other_transactions() {
-    let mut folder = FrontFolder::new("two-lives");
+fn restart_with_the_same_seed_uses_different_transaction_ids() {
+    let mut folder = FrontFolder::new("restarted");
     folder.write_fleet(1);
-    let mut lives = [(); 2].map(|()| {
+    let mut command_lines = [(); 2].map(|()| {
         let _front = folder.start();
-        folder.dial_for(MAX_WAIT).0
+        folder.dial_for_command_line(MAX_WAIT).0
     });
-    let numbers = lives.each_mut().map(|line| line.split(' ').nth(1).unwrap().parse::<u32>().unwrap());
-    assert!(numbers[0].abs_diff(numbers[1]) > 100, "{lives:?}");
+    let ids = command_lines.each_mut().map(|line| line.split(' ').nth(1).unwrap().parse::<u32>().unwrap());
+    assert!(ids[0].abs_diff(ids[1]) > 100, "{command_lines:?}");
 }
 
 #[test]
-fn sessions_are_rejected_until_endpoints_are_known() {
-    let mut folder = FrontFolder::new("nothing");
+fn sessions_are_rejected_until_a_fleet_file_is_read() {
+    let mut folder = FrontFolder::new("no-list");
     let _front = folder.start();
     assert_eq!(folder.dial(MAX_WAIT).0, "RQNT");
     folder.write_fleet(1);
     let started_at = Instant::now();
     while folder.dial(Duration::from_secs(1)).0 != "CRCX" {
-        assert!(started_at.elapsed() < MAX_WAIT);
+        assert!(
+            started_at.elapsed() < MAX_WAIT,
+            "front set up no call within {MAX_WAIT:?} of the fleet file"
+        );
     }
 }
 
 #[test]
-fn status_names_the_state_of_each_server_and_its_reason() {
+fn status_prints_the_state_of_each_server_and_its_reason() {
     let mut folder = FrontFolder::new("status");
     folder.write_fleet(7);
     let _front = folder.start_serving();
     let started_at = Instant::now();
-    let said = loop {
-        let said = String::from_utf8(folder.status().stdout).unwrap();
-        if said.contains("generation 7") || started_at.elapsed() > MAX_WAIT {
-            break said;
+    let status = loop {
+        let status = String::from_utf8(folder.status().stdout).unwrap();
+        if status.contains("generation 7") || started_at.elapsed() > MAX_WAIT {
+            break status;
         }
         thread::sleep(Duration::from_millis(50));
     };
     assert!(
-        said.contains("fleet generation 7") && said.contains("number 0 weight 1: ready, listed"),
-        "{said}"
+        status.contains("fleet generation 7") && status.contains("number 0 weight 1: ready, listed"),
+        "{status}"
     );
     let counters = fs::read_to_string(folder.path.join("state/counters.prom")).unwrap();
     assert!(counters.contains("ochrelead_fleet_adoptions_total 1"), "{counters}");
 }
 
 #[test]
-fn invalid_settings_are_one_line_each_and_exit_code_two() {
+fn invalid_settings_are_reported_with_exit_code_two() {
     let folder = FrontFolder::new("bad");
     fs::write(folder.path.join("front.textproto"), "name: \"f\"\nfronts: 0\n").unwrap();
     let run = folder.command(&["--settings", "front.textproto", "--check"]).output().unwrap();
-    let said = String::from_utf8(run.stderr).unwrap();
+    let stderr = String::from_utf8(run.stderr).unwrap();
     assert_eq!(run.status.code(), Some(2));
-    assert!(said.contains("front.textproto:2:1: fronts is 0"), "{said}");
-    assert_eq!(folder.status().status.code(), Some(2), "nothing was written yet");
+    assert!(stderr.contains("front.textproto:2:1: fronts is 0"), "{stderr}");
+    assert_eq!(folder.status().status.code(), Some(2), "status fails if no front has written one");
 }
