--- a/crates/ochrelead-front/src/node_command.rs
+++ b/crates/ochrelead-front/src/node_command.rs
@@ -33,7 +33,7 @@
     // that, and the signal to reload it must not be lost.
     let signals = match take_signals() {
         Ok(signals) => signals,
-        Err(error) => return fail(EXIT_FAILURE, format_args!("signals: {error}")),
+        Err(error) => return fail(EXIT_FAILURE, format_args!("install signal handlers: {error}")),
     };
     let configuration = match read_configuration(config_path) {
         Ok(configuration) => configuration,
