--- a/crates/ochrelead-node/src/host.rs
+++ b/crates/ochrelead-node/src/host.rs
@@ -1,20 +1,21 @@
-//! The host of a node: sockets, clock and signals. What arrives goes to the engine; what the engine returns goes out.
+//! The host of a node: sockets, clock and signals. It passes input to the engine and performs the outputs that the
+//! engine returns.
 //!
 //! # Ownership
 //!
-//! All runs in one thread, on one [`LocalExecutor`]. `State` owns the engine, the connections and the coordination with
-//! other fronts; tasks share it by a `RefCell` that is borrowed between two waits only, never across one.
+//! All tasks run in one thread, on one [`LocalExecutor`]. `State` owns the engine, the connections and the coordination
+//! with other fronts; tasks share it in a `RefCell` that is never borrowed across an `await`.
 //!
-//! | task | started by | ends |
+//! | task | started by | ends when |
 //! | --- | --- | --- |
-//! | run loop ([`serve`]) | the caller | out of service: the node owes nothing and all connections are closed |
-//! | acceptor | [`serve`] | cancelled by the run loop once nothing is owed |
-//! | reader of a connection | its accept or connect | at its end, or when `Connection` is dropped |
-//! | writer of a connection | a write that its socket did not take at once | all is written, or its reader takes too long |
-//! | receiver of datagrams | [`serve`] | with the process |
-//! | receiver of persistence reports | [`serve`] | with the writer thread, or with the process |
-//! | signal handler | [`serve`] | with the process |
-//! | reload of the configuration | SIGHUP | the file is read, or after a few attempts |
+//! | run loop ([`serve`]) | its caller | the shutdown is complete: no answer is due and all connections are closed |
+//! | acceptor | [`serve`] | the run loop cancels it, once no answer is due |
+//! | reader of a connection | accept or connect | the connection ends, or its `Connection` is dropped |
+//! | writer of a connection | a partial write | the queue is empty, or the peer reads too slowly |
+//! | receiver of datagrams | [`serve`] | the process ends |
+//! | receiver of persistence reports | [`serve`] | the writer thread or the process ends |
+//! | signal handler | [`serve`] | the process ends |
+//! | reload of the configuration | SIGHUP | the file has been read, or another SIGHUP replaces the task |
 //!
 //! The only other thread writes files ([`crate::persistence`]); it ends when its sender, owned by `State`, is dropped.
 
@@ -52,40 +53,40 @@
 pub use peers::Peers;
 pub use signals::take_signals;
 
-/// What a node is served with.
+/// The parts that [`serve`] runs a node with.
 pub struct HostConfig {
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub listen: SocketAddr,
-    /// The configuration file, read again on SIGHUP.
+    /// The path of the configuration file, which is read again on SIGHUP.
     pub configuration: PathBuf,
-    /// The node.
+    /// The engine of the node.
     pub engine: Engine,
-    /// The coordination with other fronts, where there is any.
+    /// The coordination with other fronts, if it is configured.
     pub peers: Option<Peers>,
-    /// The signals taken from before the configuration was read.
+    /// The signal stream, registered before the configuration was read so that no signal is missed.
     pub signals: Signals,
-    /// The clock that the engine was started on.
+    /// The clock that the engine was created with.
     pub clock: Clock,
 }
 
-/// Why a node can't be served.
+/// An error that prevents a node from serving.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum ServeError {
     /// A socket could not be bound.
-    #[error("{purpose} on {address}: {source}")]
+    #[error("cannot bind the {purpose} socket on {address}: {source}")]
     Bind {
-        /// What the socket is for.
+        /// The purpose of the socket.
         purpose: &'static str,
-        /// Where.
+        /// The address that was to be bound.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         #[source]
         source: io::Error,
     },
 }
 
-/// What all tasks share.
+/// The state that all tasks share.
 struct State {
     engine: EngineHandle,
     connections: ConnectionTable,
@@ -99,11 +100,11 @@
     tasks: Rc<LocalExecutor<'static>>,
 }
 
-/// Serves a node until it has left service.
+/// Serves a node until its shutdown is complete.
 ///
 /// # Errors
 ///
-/// Where a socket can't be bound.
+/// If a socket can't be bound.
 pub fn serve(config: HostConfig) -> Result<(), ServeError> {
     let HostConfig { listen, configuration, mut engine, peers, signals, clock } = config;
     let (wakeup, wakeups) = async_channel::bounded(1);
@@ -125,7 +126,7 @@
     };
     let host = Host { state: Rc::new(RefCell::new(state)), tasks: Rc::new(LocalExecutor::new()) };
     let listener = Async::<TcpListener>::bind(listen).map_err(|source| ServeError::Bind {
-        purpose: "listen",
+        purpose: "listening",
         address: listen,
         source,
     })?;
@@ -140,7 +141,7 @@
     host.tasks.spawn(host.clone().handle_signals(signals, configuration)).detach();
     async_io::block_on(host.tasks.run(async {
         host.run(&wakeups, &listener).await;
-        host.leave(&wakeups, listener, acceptor).await;
+        host.close_connections(&wakeups, listener, acceptor).await;
     }));
     Ok(())
 }
@@ -150,23 +151,23 @@
         self.state.borrow().engine.clock
     }
 
-    /// Runs the engine when something arrived or a timer is due, until it has left service.
+    /// Runs the engine whenever input has arrived or a timer is due, until a shutdown leaves no answer due.
     async fn run(&self, wakeups: &Receiver<()>, listener: &Async<TcpListener>) {
         while let ControlFlow::Continue(timeout) = self.run_once(listener) {
             self.wait(wakeups, timeout).await;
-            // What has arrived meanwhile on other connections belongs to the same round.
+            // Lets the readers report what has arrived on other connections, so that one iteration processes all of it.
             future::yield_now().await;
         }
     }
 
-    /// One round; when the next is due, or the end of service.
+    /// Runs one iteration. Returns when the next one is due, or `Break` once the node can close its connections.
     fn run_once(&self, listener: &Async<TcpListener>) -> ControlFlow<(), Option<Moment>> {
         let clock = self.clock();
         let mut state = self.state.borrow_mut();
         let State { engine, connections, .. } = &mut *state;
-        connections.resume_draining(engine);
+        connections.resume_pending_drains(engine);
         self.process(&mut state, clock.now());
-        if state.is_closed() && self.has_nothing_unread(&mut state, listener) {
+        if state.is_closed() && self.has_no_pending_input(&mut state, listener) {
             return ControlFlow::Break(());
         }
         let timeouts = [
@@ -174,25 +175,26 @@
             state.process_peers(clock.now()),
             state.connections.close_lingering(clock.now()),
         ];
-        self.carry_out_all(&mut state);
+        self.perform_outputs(&mut state);
         ControlFlow::Continue(timeouts.into_iter().flatten().min())
     }
 
     fn process(&self, state: &mut State, now: Moment) {
         state.engine.engine.process(now);
-        self.carry_out_all(state);
+        self.perform_outputs(state);
     }
 
-    /// Reads all that has arrived. Whether the node still owes nothing after that, and nothing owed can follow: in the
-    /// end only what is owed keeps it, for a flood of other lines would keep it for ever.
-    fn has_nothing_unread(&self, state: &mut State, listener: &Async<TcpListener>) -> bool {
+    /// Accepts and reads all that has arrived. Returns whether the node may stop after that: no answer is due, and either
+    /// nothing had arrived or the time for set-ups is over. After that time new input alone does not delay the stop, or
+    /// else a flood of lines without an answer could delay it without limit.
+    fn has_no_pending_input(&self, state: &mut State, listener: &Async<TcpListener>) -> bool {
         let any_accepted = self.accept_all(state, listener);
         let State { engine, connections, .. } = &mut *state;
         let any_read = connections.read_all(engine);
         let now = state.engine.clock.now();
         self.process(state, now);
-        let is_over = !(any_accepted || any_read) || !state.engine.engine.may_receive_set_ups();
-        is_over && state.is_closed()
+        let is_input_over = !(any_accepted || any_read) || !state.engine.engine.may_receive_set_ups();
+        is_input_over && state.is_closed()
     }
 
     async fn wait(&self, wakeups: &Receiver<()>, timeout: Option<Moment>) {
@@ -206,8 +208,14 @@
         future::or(wakeup, timer).await;
     }
 
-    /// Nothing is owed any more: nobody is accepted, and each caller reads to the end what was written to it.
-    async fn leave(&self, wakeups: &Receiver<()>, listener: Rc<Async<TcpListener>>, acceptor: Task<()>) {
+    /// Stops accepting and closes all connections once no answer is due, after each caller has been given time to read
+    /// what was written to it.
+    async fn close_connections(
+        &self,
+        wakeups: &Receiver<()>,
+        listener: Rc<Async<TcpListener>>,
+        acceptor: Task<()>,
+    ) {
         acceptor.cancel().await;
         drop(listener);
         let clock = self.clock();
@@ -215,20 +223,20 @@
         loop {
             let timeout = self.state.borrow_mut().connections.close_lingering(clock.now());
             if self.state.borrow().connections.is_empty() {
-                info!("out of service");
+                info!("shutdown complete; all connections are closed");
                 return;
             }
             self.wait(wakeups, timeout).await;
         }
     }
 
-    fn carry_out_all(&self, state: &mut State) {
+    fn perform_outputs(&self, state: &mut State) {
         while let Some(output) = state.engine.engine.poll_output() {
-            self.carry_out(state, output);
+            self.perform(state, output);
         }
     }
 
-    fn carry_out(&self, state: &mut State, output: Output) {
+    fn perform(&self, state: &mut State, output: Output) {
         let State { engine, connections, .. } = &mut *state;
         match output {
             Output::SendToCaller(caller, bytes) => self.write(state, Remote::Caller(caller), &bytes),
@@ -256,7 +264,7 @@
         }
     }
 
-    /// Marks what has reached the disk.
+    /// Reports to the coordination which states have reached the disk.
     async fn receive_persisted(self, persisted: Receiver<u64>) {
         while let Ok(sequence) = persisted.recv().await {
             let mut state = self.state.borrow_mut();
@@ -267,7 +275,7 @@
         }
     }
 
-    /// Receives the datagrams of other fronts, some at a time.
+    /// Receives the datagrams of other fronts, a limited number at a time.
     async fn receive_datagrams(self, socket: Rc<Async<UdpSocket>>) {
         loop {
             if socket.readable().await.is_err() {
@@ -280,7 +288,7 @@
 }
 
 impl State {
-    /// Whether the engine owes nothing and all has been written.
+    /// Whether the engine has shut down and all output has been written.
     fn is_closed(&self) -> bool {
         self.engine.engine.is_closed() && self.connections.all_written()
     }
@@ -297,8 +305,8 @@
         self.engine.wake();
     }
 
-    /// Out of service: the connections to servers and the coordinator are dropped, and callers' connections are closed
-    /// so that each caller reads all that was written to it.
+    /// Drops the connections to servers and to the coordinator, and closes callers' connections so that each caller can
+    /// read all that was written to it.
     fn close_all(&mut self) {
         let State { engine, connections, .. } = self;
         connections.close_all(engine);
--- a/crates/ochrelead-node/src/host/connection.rs
+++ b/crates/ochrelead-node/src/host/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a node: whose it is, how far its end has got, and what waits on it.
+//! One TCP connection of a node: its peer, its close state and its write queue.
 
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -9,7 +9,7 @@
 
 use crate::io::{CallerId, ServerConnectionId, WatchId};
 
-/// The other side of a connection.
+/// The peer of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Remote {
     Caller(CallerId),
@@ -20,26 +20,27 @@
 /// How the node ends a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseMode {
-    /// A caller's is shut down for writing first and what still arrives is discarded for a moment: closed with bytes
-    /// unread it would be reset, and what was written last could be lost.
+    /// Closes the connection in both directions. A caller's connection is first shut down for writing, and its input is
+    /// discarded for a moment: closing a socket with unread input resets the connection, and the caller could lose the
+    /// bytes written last.
     Close,
-    /// Nothing more is written; it is read until the other side ends it too.
+    /// Shuts the connection down for writing and reads until the peer closes too.
     HalfClose,
 }
 
-/// How far the end of a connection has got.
+/// The close state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseState {
     Open,
-    /// A caller has shut its side down for writing; it still reads.
+    /// A caller has shut its side down for writing and still reads.
     RemoteClosed,
-    /// Shut down for writing once all is written.
+    /// To be shut down for writing once the write queue is empty; input is still processed.
     HalfClosing,
-    /// Closed once all is written; what arrives is discarded.
+    /// To be closed once the write queue is empty; input is discarded.
     Closing {
         remote_closed: bool,
     },
-    /// Shut down for writing; what arrives is discarded until it is closed.
+    /// Shut down for writing; input is discarded until the connection is closed.
     Lingering,
 }
 
@@ -68,7 +69,7 @@
     }
 }
 
-/// What a read brought.
+/// The result of one read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
     Bytes,
@@ -76,31 +77,31 @@
     End,
 }
 
-/// What came of writing what is queued.
+/// The result of writing from the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteProgress {
     Complete,
     Blocked,
     Failed,
-    /// The connection has been closed.
+    /// The connection is no longer in the table.
     Gone,
 }
 
-/// A connection, and what waits on it.
+/// A connection and the bytes queued on it.
 pub(super) struct Connection {
-    /// `None` while it is being established.
+    /// `None` while the connection is being established.
     pub(super) stream: Option<Rc<Async<TcpStream>>>,
-    /// What its reader has not taken yet; a task writes it while there is any.
+    /// Bytes that the socket has not accepted yet. While there are any, a writer task runs.
     pub(super) write_queue: Vec<u8>,
     pub(super) state: CloseState,
-    /// Bytes that were read and discarded since the node began to close it.
+    /// Bytes read and discarded since the node began to close the connection.
     pub(super) discarded_bytes: usize,
-    /// Ends its reader task when dropped.
+    /// Ends the reader task when dropped.
     _reader_guard: Sender<()>,
 }
 
 impl Connection {
-    /// An open connection; the receiver ends when it is dropped.
+    /// Creates an open connection. The receiver is closed when the connection is dropped.
     pub(super) fn new(stream: Option<Rc<Async<TcpStream>>>) -> (Connection, Receiver<()>) {
         let (reader_guard, dropped) = async_channel::bounded(1);
         let connection = Connection {
@@ -114,7 +115,7 @@
     }
 }
 
-/// Writes what the socket takes now; how many bytes that were.
+/// Writes as much as the socket accepts without blocking. Returns the number of bytes written.
 pub(super) fn write_now(stream: &Async<TcpStream>, bytes: &[u8]) -> std::io::Result<usize> {
     let mut written = 0;
     while written < bytes.len() {
--- a/crates/ochrelead-node/src/host/connections.rs
+++ b/crates/ochrelead-node/src/host/connections.rs
@@ -1,4 +1,5 @@
-//! The connections of a node. Borrowed between two waits only, as all that its tasks share.
+//! The table of a node's TCP connections: reading, writing and closing. As part of the state that tasks share, it is
+//! never borrowed across an `await`.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read};
@@ -17,26 +18,27 @@
 use crate::bounds::protocol;
 use crate::io::{CallerId, Input, WatchId};
 
-/// Reads of one connection in a row while its input is drained: the others have their turn between.
-const READS_PER_ROUND: usize = 16;
+/// The maximum number of consecutive reads of one connection while its input is drained, so that one caller can't
+/// starve the others.
+const MAX_READS_PER_ITERATION: usize = 16;
 
-/// A connection that is closed at a moment, whatever arrives on it.
+/// A lingering connection and when it is closed, whatever still arrives on it.
 struct LingeringClose {
-    until: Moment,
+    closes_at: Moment,
     remote: Remote,
 }
 
-/// All connections.
+/// All connections of the node.
 pub(super) struct ConnectionTable {
     connections: HashMap<Remote, Connection>,
     last_caller: u64,
-    /// The callers' connections that are open, lingering ones included.
+    /// The number of callers' connections, lingering ones included.
     caller_count: usize,
-    /// Open connections to the coordinator.
+    /// Established connections to the coordinator.
     watches: Vec<WatchId>,
-    /// Callers whose input is to be drained on.
-    draining: Vec<CallerId>,
-    /// Lingering connections, the first to close first.
+    /// Callers whose input had more data than one iteration reads; the next iteration continues with them.
+    pending_drains: Vec<CallerId>,
+    /// Lingering connections, earliest `closes_at` first.
     lingering: Vec<LingeringClose>,
     read_buffer: Vec<u8>,
 }
@@ -48,7 +50,7 @@
             last_caller: 0,
             caller_count: 0,
             watches: Vec::new(),
-            draining: Vec::new(),
+            pending_drains: Vec::new(),
             lingering: Vec::new(),
             read_buffer: vec![0; MAX_MESSAGE_LENGTH],
         }
@@ -66,15 +68,15 @@
         self.connections.get(&remote)?.stream.clone()
     }
 
-    /// What is queued for a slow reader.
-    pub(super) fn queue_mut(&mut self, remote: Remote) -> Option<&mut Vec<u8>> {
+    /// The bytes queued for a peer that reads slowly.
+    pub(super) fn write_queue_mut(&mut self, remote: Remote) -> Option<&mut Vec<u8>> {
         self.connections.get_mut(&remote).map(|connection| &mut connection.write_queue)
     }
 
-    // ---- Begin ----
+    // ---- Open ----
 
-    /// Whether another caller's connection may be open; the oldest lingering one makes room for it.
-    pub(super) fn make_room(&mut self, max_callers: usize) -> bool {
+    /// Whether another caller may connect. At the limit, the oldest lingering connection is closed to make room.
+    pub(super) fn make_room_for_caller(&mut self, max_callers: usize) -> bool {
         if self.caller_count >= max_callers && !self.lingering.is_empty() {
             let oldest = self.lingering.remove(0);
             self.remove(oldest.remote);
@@ -82,7 +84,7 @@
         self.caller_count < max_callers
     }
 
-    /// Adds and reports an accepted connection; the receiver ends when it is removed.
+    /// Adds an accepted connection and reports it to the engine. The receiver is closed when the connection is removed.
     pub(super) fn add_caller(
         &mut self,
         engine: &mut EngineHandle,
@@ -96,7 +98,7 @@
         (Remote::Caller(caller), closed)
     }
 
-    /// Adds a connection that is being established; the receiver ends when it is removed.
+    /// Adds a connection that is being established. The receiver is closed when the connection is removed.
     pub(super) fn add_connecting(&mut self, remote: Remote) -> Receiver<()> {
         self.insert(remote, None)
     }
@@ -107,7 +109,7 @@
         closed
     }
 
-    /// A connection is established; false where it has been closed meanwhile.
+    /// Stores the stream of an established connection. Returns false if the connection has been removed meanwhile.
     pub(super) fn set_stream(&mut self, remote: Remote, stream: Rc<Async<TcpStream>>) -> bool {
         let Some(connection) = self.connections.get_mut(&remote) else { return false };
         connection.stream = Some(stream);
@@ -119,7 +121,7 @@
 
     // ---- Read ----
 
-    /// Reads once for its reader; false where nothing more is to be read.
+    /// Reads once, for the reader task of a connection. Returns false if nothing more is to be read.
     pub(super) fn read(
         &mut self,
         engine: &mut EngineHandle,
@@ -166,7 +168,8 @@
         }
     }
 
-    /// The other side writes nothing more. A caller that only shut its side down still reads its answers.
+    /// Handles the end of the peer's input. A caller that shut its side down for writing may still read its answers, so
+    /// its connection stays open.
     fn on_end_of_input(
         &mut self,
         engine: &mut EngineHandle,
@@ -186,7 +189,8 @@
         ReadOutcome::End
     }
 
-    /// Discards what arrives on a connection that the node closes; one message at the most.
+    /// Discards input on a connection that the node is closing. Removes the connection once more than
+    /// `MAX_MESSAGE_LENGTH` bytes have been discarded.
     fn discard(&mut self, remote: Remote, length: usize) -> ReadOutcome {
         let Some(connection) = self.connections.get_mut(&remote) else { return ReadOutcome::End };
         connection.discarded_bytes += length;
@@ -197,22 +201,23 @@
         ReadOutcome::Bytes
     }
 
-    /// Reads all that has arrived from the coordinator and a caller before something is done that a change of the list,
-    /// the caller's leaving or its message would change. What is too much for one round goes on in the next.
+    /// Reads all input that has arrived from the coordinator and from one caller, then reports `InputDrained`. The engine
+    /// requests this before an action that a change of the endpoint list, the caller's disconnect or its next message
+    /// would alter. If `MAX_READS_PER_ITERATION` reads do not exhaust the caller's input, the next iteration continues.
     pub(super) fn drain_input(&mut self, engine: &mut EngineHandle, caller: CallerId) {
         self.read_watches(engine);
         let remote = Remote::Caller(caller);
         if let Some(stream) = self.stream(remote)
             && self.has_more_after_reading(engine, remote, &stream)
         {
-            self.draining.push(caller);
+            self.pending_drains.push(caller);
             engine.wake();
             return;
         }
         engine.handle_input(Input::InputDrained(caller));
     }
 
-    /// Reads what the coordinator has sent: a node that stood still learns of a drain before it sends INVITEs.
+    /// Reads what the coordinator has sent, so that a node that was paused learns of a drain before it sends INVITEs.
     fn read_watches(&mut self, engine: &mut EngineHandle) {
         for watch in self.watches.clone() {
             let remote = Remote::Coordinator(watch);
@@ -228,17 +233,17 @@
         remote: Remote,
         stream: &Async<TcpStream>,
     ) -> bool {
-        (0..READS_PER_ROUND).all(|_| self.read_once(engine, remote, stream) == ReadOutcome::Bytes)
+        (0..MAX_READS_PER_ITERATION).all(|_| self.read_once(engine, remote, stream) == ReadOutcome::Bytes)
     }
 
-    /// Goes on with what was too much for the last round.
-    pub(super) fn resume_draining(&mut self, engine: &mut EngineHandle) {
-        for caller in mem::take(&mut self.draining) {
+    /// Continues the drains that the previous iteration did not complete.
+    pub(super) fn resume_pending_drains(&mut self, engine: &mut EngineHandle) {
+        for caller in mem::take(&mut self.pending_drains) {
             self.drain_input(engine, caller);
         }
     }
 
-    /// Reads all callers' and servers' connections once; whether any had brought something.
+    /// Reads each caller's and server's connection once. Returns whether any data arrived.
     pub(super) fn read_all(&mut self, engine: &mut EngineHandle) -> bool {
         let streams: Vec<(Remote, Rc<Async<TcpStream>>)> = self
             .connections
@@ -246,17 +251,18 @@
             .filter(|(remote, _)| !matches!(remote, Remote::Coordinator(_)))
             .filter_map(|(remote, connection)| Some((*remote, connection.stream.clone()?)))
             .collect();
-        let mut any = false;
+        let mut any_data = false;
         for (remote, stream) in streams {
-            any |= self.read_once(engine, remote, &stream) == ReadOutcome::Bytes;
+            any_data |= self.read_once(engine, remote, &stream) == ReadOutcome::Bytes;
         }
-        any
+        any_data
     }
 
     // ---- Write ----
 
-    /// Writes what the socket takes now and queues the rest; whether a writer task is needed for that. Nothing is queued
-    /// behind a server that does not read: it would begin when it is no longer wanted.
+    /// Writes what the socket accepts now and queues the remaining bytes. Returns whether a writer task must be started
+    /// for them. A connection to a server whose socket accepts nothing is closed instead: a message queued there would
+    /// be sent too late to be of use. The connection is closed, too, when its queue would exceed the limit.
     pub(super) fn write(&mut self, engine: &mut EngineHandle, remote: Remote, bytes: &[u8]) -> bool {
         let Some(connection) = self.connections.get_mut(&remote) else { return false };
         let Some(stream) = &connection.stream else { return false };
@@ -270,20 +276,21 @@
             self.on_closed(engine, remote, false);
             return false;
         };
-        let rest = &bytes[written..];
-        let is_blocked = !rest.is_empty() && written == 0 && matches!(remote, Remote::Server(_));
-        if is_blocked || connection.write_queue.len() + rest.len() > engine.engine.max_unwritten_bytes() {
-            debug!(?remote, "reader too slow");
+        let unwritten = &bytes[written..];
+        let is_blocked = !unwritten.is_empty() && written == 0 && matches!(remote, Remote::Server(_));
+        if is_blocked || connection.write_queue.len() + unwritten.len() > engine.engine.max_unwritten_bytes()
+        {
+            debug!(?remote, "connection closed: peer reads too slowly");
             self.on_closed(engine, remote, false);
             return false;
         }
-        connection.write_queue.extend_from_slice(rest);
+        connection.write_queue.extend_from_slice(unwritten);
         !has_writer && !connection.write_queue.is_empty()
     }
 
-    // ---- End ----
+    // ---- Close ----
 
-    /// Closes a connection once all that is queued has been written.
+    /// Closes a connection once its write queue is empty.
     pub(super) fn close(&mut self, engine: &EngineHandle, remote: Remote, mode: CloseMode) {
         if let Some(connection) = self.connections.get_mut(&remote) {
             connection.state = connection.state.close(mode);
@@ -293,14 +300,14 @@
         }
     }
 
-    /// All that was queued for a connection has been written: what the node wants to end is ended.
+    /// Carries out a requested close or half-close once the write queue is empty.
     pub(super) fn on_written(&mut self, engine: &EngineHandle, remote: Remote) {
         let Some(connection) = self.connections.get_mut(&remote) else { return };
         let is_caller = matches!(remote, Remote::Caller(_));
         match (connection.state, &connection.stream) {
             (CloseState::Open | CloseState::RemoteClosed, _) => {}
             (CloseState::HalfClosing, Some(stream)) => {
-                // One that can't be shut down has ended: its reader sees that.
+                // If the shutdown fails, the connection has ended already and its reader reports that.
                 let _ = stream.get_ref().shutdown(Shutdown::Write);
             }
             (CloseState::Closing { remote_closed: false } | CloseState::Lingering, Some(stream))
@@ -310,8 +317,8 @@
                     self.remove(remote);
                 } else if connection.state != CloseState::Lingering {
                     connection.state = CloseState::Lingering;
-                    let until = engine.clock.now() + protocol::CLOSE_RACE_WINDOW * 2;
-                    self.lingering.push(LingeringClose { until, remote });
+                    let closes_at = engine.clock.now() + protocol::CLOSE_RACE_WINDOW * 2;
+                    self.lingering.push(LingeringClose { closes_at, remote });
                 }
             }
             (CloseState::Closing { .. } | CloseState::Lingering | CloseState::HalfClosing, _) => {
@@ -320,7 +327,8 @@
         }
     }
 
-    /// Removes and reports a connection that has ended by itself.
+    /// Removes a connection that has failed or that the peer has closed, and reports it to the engine. `refused` tells
+    /// whether the peer refused the connection attempt.
     pub(super) fn on_closed(&mut self, engine: &mut EngineHandle, remote: Remote, refused: bool) {
         if self.remove(remote) {
             engine.handle_input(match remote {
@@ -343,11 +351,11 @@
         true
     }
 
-    /// Closes what has lingered for long enough; when the next has.
+    /// Closes the lingering connections that are due. Returns when the next one is due.
     pub(super) fn close_lingering(&mut self, now: Moment) -> Option<Moment> {
         while let Some(first) = self.lingering.first() {
-            if first.until > now {
-                return Some(first.until);
+            if first.closes_at > now {
+                return Some(first.closes_at);
             }
             let remote = first.remote;
             self.remove(remote);
@@ -355,7 +363,7 @@
         None
     }
 
-    /// Drops the connections to servers and the coordinator, and closes those of callers.
+    /// Drops the connections to servers and to the coordinator, and closes those of callers once all is written.
     pub(super) fn close_all(&mut self, engine: &EngineHandle) {
         self.connections.retain(|remote, _| matches!(remote, Remote::Caller(_)));
         self.watches.clear();
--- a/crates/ochrelead-node/src/host/engine_handle.rs
+++ b/crates/ochrelead-node/src/host/engine_handle.rs
@@ -1,4 +1,4 @@
-//! The engine with its clock, and the wakeup of the run loop.
+//! The engine together with its clock and the sender that wakes the run loop.
 
 use async_channel::Sender;
 use ochrelead_host::clock::Clock;
@@ -6,7 +6,7 @@
 use crate::engine::Engine;
 use crate::io::Input;
 
-/// The engine, as the host's connections report to it.
+/// Passes events to the engine and wakes the run loop.
 pub(super) struct EngineHandle {
     pub(super) engine: Engine,
     pub(super) clock: Clock,
@@ -18,15 +18,15 @@
         EngineHandle { engine, clock, wakeup }
     }
 
-    /// Reports an event; the run loop processes it soon.
+    /// Reports an event to the engine and wakes the run loop to process it.
     pub(super) fn handle_input(&mut self, input: Input<'_>) {
         self.engine.handle_input(self.clock.now(), input);
         self.wake();
     }
 
-    /// Lets the run loop do a round.
+    /// Wakes the run loop for another iteration.
     pub(super) fn wake(&self) {
-        // A full channel holds a wakeup already.
+        // If the channel is full, a wakeup is pending already.
         let _ = self.wakeup.try_send(());
     }
 }
--- a/crates/ochrelead-node/src/host/peers.rs
+++ b/crates/ochrelead-node/src/host/peers.rs
@@ -1,4 +1,4 @@
-//! The coordination with other fronts, under the host.
+//! The I/O of the coordination with other fronts: its datagram socket and the thread that persists its state.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
@@ -13,22 +13,22 @@
 use crate::engine::Engine;
 use crate::persistence::{PersistenceWriter, WriteJob};
 
-/// Datagrams that are received before the next round.
-const DATAGRAMS_PER_ROUND: usize = 64;
-/// Room for a datagram; none of another front is longer.
+/// The maximum number of datagrams received before the run loop's next iteration.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
+/// The size of the receive buffer. No front sends a longer datagram.
 const MAX_DATAGRAM_BYTES: usize = 512;
 
-/// What a node coordinates with other fronts by.
+/// The configuration of a node's coordination with other fronts.
 pub struct Peers {
     /// The coordination, without I/O.
     pub coordination: FleetCoordination,
-    /// Where the datagrams of other fronts arrive.
+    /// The address on which datagrams of other fronts are received.
     pub listen: SocketAddr,
-    /// Where a voter persists its state, if anywhere.
+    /// The writer thread that persists a voter's state, if one is configured.
     pub persistence: Option<PersistenceWriter>,
 }
 
-/// The same with its socket, and the way to the disk.
+/// The coordination with its bound socket and the channel to the writer thread.
 pub(super) struct PeerHost {
     pub(super) coordination: FleetCoordination,
     socket: Rc<Async<UdpSocket>>,
@@ -36,11 +36,11 @@
 }
 
 impl PeerHost {
-    /// Binds the socket; the receiver reports what has reached the disk.
+    /// Binds the socket. The receiver reports the sequence numbers of the states that are on disk.
     pub(super) fn bind(peers: Peers) -> Result<(PeerHost, Option<Receiver<u64>>), ServeError> {
         let Peers { coordination, listen, persistence } = peers;
         let socket = Async::<UdpSocket>::bind(listen).map_err(|source| ServeError::Bind {
-            purpose: "peers",
+            purpose: "peer datagram",
             address: listen,
             source,
         })?;
@@ -52,7 +52,8 @@
         self.socket.clone()
     }
 
-    /// Passes observations and actions between the engine and the coordination; when the next round is due.
+    /// Passes observations and actions between the engine and the coordination, then persists and sends what is due.
+    /// Returns when the coordination must be processed next.
     pub(super) fn process(&mut self, engine: &mut Engine, now: Moment) -> Option<Moment> {
         let coordination = &mut self.coordination;
         while let Some(token) = engine.poll_superseded_token() {
@@ -81,7 +82,7 @@
 
     fn persist(&mut self, now: Moment) {
         let Some(writer) = &self.writer else { return };
-        // The thread lives as long as its sender.
+        // The thread runs until its sender is dropped, so sending can't fail.
         if let Some(state) = self.coordination.poll_voter_state() {
             let _ = writer.send(WriteJob::VoterState(state));
         }
@@ -92,14 +93,14 @@
 
     fn send_datagrams(&mut self) {
         while let Some(datagram) = self.coordination.poll_output() {
-            // What the socket does not take is lost, as any datagram may be.
+            // A datagram that the socket does not accept is lost; the protocol tolerates lost datagrams.
             let _ = self.socket.get_ref().send_to(&datagram.bytes, datagram.destination);
         }
     }
 
     pub(super) fn receive_datagrams(&mut self, now: Moment) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
-        for _ in 0..DATAGRAMS_PER_ROUND {
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             let Ok((length, from)) = self.socket.get_ref().recv_from(&mut bytes) else { break };
             self.coordination.handle_input(now, from, &bytes[..length]);
         }
--- a/crates/ochrelead-node/src/host/signals.rs
+++ b/crates/ochrelead-node/src/host/signals.rs
@@ -1,4 +1,4 @@
-//! Signals, and the configuration that one of them reloads.
+//! Signal handling: shutdown on SIGTERM and SIGINT, reload of the configuration on SIGHUP.
 
 use std::fs;
 use std::io;
@@ -17,9 +17,9 @@
 use super::Host;
 use crate::io::Input;
 
-/// A configuration that is invalid may be written just now: it is read again, first after this delay.
-const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The delay doubles with each attempt up to this.
+/// The delay before the first retry of a reload: an invalid file may be one that is still being written.
+const MIN_RELOAD_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The delay doubles with each attempt up to this maximum.
 const MAX_RELOAD_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Why a configuration could not be reloaded.
@@ -31,11 +31,12 @@
     Parse(#[from] serde_json::Error),
 }
 
-/// Takes the signals from now on: one that arrives before the node serves is handled once it does.
+/// Registers the handlers for SIGTERM, SIGINT and SIGHUP. A signal that arrives before the node serves is handled as
+/// soon as it does.
 ///
 /// # Errors
 ///
-/// Where they can't be taken.
+/// If the handlers can't be registered.
 pub fn take_signals() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
@@ -45,15 +46,16 @@
         let mut reload: Option<Task<()>> = None;
         while let Some(signal) = signals.next().await {
             match signal {
-                // In a task of its own: no signal waits for a file. It replaces the one before.
+                // Runs in a separate task, so that a later signal need not wait for the file. It replaces the previous
+                // reload.
                 Ok(Signal::Hup) => {
                     let next = self.tasks.spawn(self.clone().reload(configuration.clone()));
-                    if let Some(former) = reload.replace(next) {
-                        former.cancel().await;
+                    if let Some(previous) = reload.replace(next) {
+                        previous.cancel().await;
                     }
                 }
                 Ok(_) => {
-                    info!("leaving service");
+                    info!("shutdown signal received; leaving service");
                     let mut state = self.state.borrow_mut();
                     let now = state.engine.clock.now();
                     if let Some(peers) = &mut state.peers {
@@ -61,25 +63,25 @@
                     }
                     state.engine.handle_input(Input::Shutdown);
                 }
-                Err(error) => warn!(%error, "signal not read"),
+                Err(error) => warn!(%error, "failed to receive a signal"),
             }
         }
     }
 
-    /// Reloads the configuration; an invalid one changes nothing and is read again until it is valid.
+    /// Reloads the configuration. An invalid file changes nothing and is read again until it is valid.
     async fn reload(self, configuration: PathBuf) {
-        let mut delay = RELOAD_RETRY_DELAY;
+        let mut delay = MIN_RELOAD_RETRY_DELAY;
         while let Err(error) = self.reload_once(&configuration) {
-            if delay == RELOAD_RETRY_DELAY {
-                warn!(%error, "configuration not reloaded; it is read until it is valid");
+            if delay == MIN_RELOAD_RETRY_DELAY {
+                warn!(%error, "configuration not reloaded; retrying until the file is valid");
             }
             Timer::after(delay).await;
             delay = (delay * 2).min(MAX_RELOAD_RETRY_DELAY);
         }
     }
 
-    /// Takes the list of the replaced configuration where it is later than the node's, and follows the coordinator at the
-    /// address that it names.
+    /// Reads the configuration once. The engine adopts the file's endpoint list if that is newer than its current list, and
+    /// watches the coordinator at the address in the file.
     fn reload_once(&self, configuration: &Path) -> Result<(), ReloadError> {
         let configuration = configuration::parse(&fs::read_to_string(configuration)?)?;
         if let Some(list) = EndpointChange::merge(&configuration.initial_changes) {
--- a/crates/ochrelead-node/src/host/sockets.rs
+++ b/crates/ochrelead-node/src/host/sockets.rs
@@ -1,4 +1,4 @@
-//! The tasks of connections: accept, connect, read and write.
+//! The tasks that accept, establish, read and write connections.
 
 use std::io::{self, ErrorKind, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,17 +16,18 @@
 use crate::bounds::protocol;
 use crate::io::Input;
 
-/// The delay before the next attempt where a connection can't be accepted: others end soon.
+/// The delay before the next attempt after `accept` failed, for example for want of descriptors: other connections end
+/// soon.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The delay before the next attempt where no further connection may be open.
+/// The delay before the next attempt while the maximum number of callers is connected.
 const ACCEPT_FULL_DELAY: Duration = Duration::from_millis(5);
-/// How long the writer of a slow reader waits.
+/// How long a writer task waits until the socket accepts more bytes; then the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_micros(protocol::INVALID_CALLER_DEADLINE.micros());
 
 impl Host {
     // ---- Accept ----
 
-    /// Accepts connections one at a time, as many as may be open; others wait with the system.
+    /// Accepts connections one at a time, up to the limit on callers. Further ones stay in the system's accept queue.
     pub(super) async fn accept(self, listener: Rc<Async<TcpListener>>) {
         loop {
             let accepted = self.accept_if_room(&mut self.state.borrow_mut(), &listener);
@@ -44,24 +45,24 @@
         }
     }
 
-    /// Accepts all connections that wait and may be open; whether there were any.
+    /// Accepts all connections in the accept queue, up to the limit on callers. Returns whether there were any.
     pub(super) fn accept_all(&self, state: &mut State, listener: &Async<TcpListener>) -> bool {
-        let mut any = false;
+        let mut any_accepted = false;
         while matches!(self.accept_if_room(state, listener), Ok(true)) {
-            any = true;
+            any_accepted = true;
         }
-        any
+        any_accepted
     }
 
-    /// Accepts one connection; false where no further one may be open.
+    /// Accepts one connection. Returns false if the limit on callers is reached.
     fn accept_if_room(&self, state: &mut State, listener: &Async<TcpListener>) -> io::Result<bool> {
         let State { engine, connections, .. } = state;
-        if !connections.make_room(engine.engine.max_callers()) {
+        if !connections.make_room_for_caller(engine.engine.max_callers()) {
             return Ok(false);
         }
         let (stream, _) = listener.get_ref().accept()?;
         let stream = Rc::new(Async::new(stream)?);
-        // An option that improves latency only.
+        // The option only improves latency: a failure is ignored.
         let _ = stream.get_ref().set_nodelay(true);
         let (remote, closed) = connections.add_caller(engine, stream.clone());
         self.tasks.spawn(self.clone().read(remote, stream, closed)).detach();
@@ -91,14 +92,14 @@
                 return;
             }
         };
-        // An option that improves latency only.
+        // The option only improves latency: a failure is ignored.
         let _ = stream.get_ref().set_nodelay(true);
         if self.on_connected(remote, &stream) {
             self.read(remote, stream, closed).await;
         }
     }
 
-    /// Reports an established connection; false where it has been closed meanwhile.
+    /// Reports an established connection to the engine. Returns false if it has been closed meanwhile.
     fn on_connected(&self, remote: Remote, stream: &Rc<Async<TcpStream>>) -> bool {
         let mut state = self.state.borrow_mut();
         if !state.connections.set_stream(remote, stream.clone()) {
@@ -120,15 +121,15 @@
 
     // ---- Read ----
 
-    /// Reads a connection until either side ends it, a little at a time: the others have their turn between.
+    /// Reads a connection until either side closes it. Yields to the other tasks after each read.
     async fn read(self, remote: Remote, stream: Rc<Async<TcpStream>>, closed: Receiver<()>) {
         loop {
-            let is_closed = async {
+            let removed = async {
                 let _ = closed.recv().await;
                 false
             };
-            let is_readable = async { stream.readable().await.is_ok() };
-            if !future::or(is_closed, is_readable).await || !self.read_some(remote, &stream) {
+            let readable = async { stream.readable().await.is_ok() };
+            if !future::or(removed, readable).await || !self.read_some(remote, &stream) {
                 return;
             }
             future::yield_now().await;
@@ -143,7 +144,7 @@
 
     // ---- Write ----
 
-    /// Writes bytes; what the socket does not take now, a task writes.
+    /// Writes bytes. Starts a writer task for those that the socket does not accept now.
     pub(super) fn write(&self, state: &mut State, remote: Remote, bytes: &[u8]) {
         let State { engine, connections, .. } = state;
         if connections.write(engine, remote, bytes) {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Writes what is queued for a slow reader.
+    /// Writes the queue of a connection whenever its socket accepts more bytes.
     async fn write_queued(self, remote: Remote) {
         let Some(stream) = self.state.borrow().connections.stream(remote) else { return };
         loop {
@@ -183,7 +184,7 @@
     stream: &Async<TcpStream>,
     is_writable: bool,
 ) -> WriteProgress {
-    let Some(queue) = connections.queue_mut(remote) else { return WriteProgress::Gone };
+    let Some(queue) = connections.write_queue_mut(remote) else { return WriteProgress::Gone };
     if !is_writable {
         return WriteProgress::Failed;
     }
--- a/crates/ochrelead-node/src/lib.rs
+++ b/crates/ochrelead-node/src/lib.rs
@@ -1,17 +1,18 @@
-//! A front on the operators' platform: callers speak JSON lines, signalling servers SIP, the coordinator numbered
-//! events, all over TCP. The controller of `ochrelead-core` decides on every session; nothing here does.
+//! The node: a front on the operators' platform. Over TCP it exchanges JSON lines with callers and SIP messages with
+//! signalling servers, and receives numbered events from the coordinator. All routing decisions are made by the
+//! controller of `ochrelead-core`.
 //!
-//! - [`engine`]: the node without I/O, and [`io`]: what passes between it and its host. The host reports what arrives
-//!   by [`engine::Engine::handle_input`], lets it decide by [`engine::Engine::process`], carries out what
-//!   [`engine::Engine::poll_output`] returns, and comes again at [`engine::Engine::poll_timeout`].
-//! - `call_table`, `caller_table`, `server_table`: its state. `bounds`: how much each may hold.
+//! - [`engine`]: the node's logic without I/O; [`io`]: the inputs and outputs between the engine and its host. The host
+//!   passes input to [`engine::Engine::handle_input`], runs [`engine::Engine::process`], performs the outputs that
+//!   [`engine::Engine::poll_output`] returns, and runs the engine again no later than [`engine::Engine::poll_timeout`].
+//! - `call_table`, `caller_table`, `server_table`: the state of the engine; `bounds`: the capacity of each table.
 //! - `coordinator_watch`: the subscription to the coordinator.
-//! - `outcomes`, `occupancy`, [`fencing`]: what the messages of signalling servers mean.
-//! - [`coordination`]: the coordination with other fronts, where it is asked for; [`health_check`]: one front probes a
-//!   silent server for all; [`observation`]: what the engine and the coordination tell each other.
-//! - [`host`]: sockets, clock, signals. [`persistence`]: what a voter persists, where it is given a folder.
+//! - `outcomes`, `occupancy`, [`fencing`]: the interpretation of signalling servers' messages.
+//! - [`coordination`]: the optional coordination with other fronts; [`health_check`]: the probe of a silent server, which
+//!   one front sends on behalf of all; [`observation`]: the messages between the engine and the coordination.
+//! - [`host`]: sockets, clock and signals; [`persistence`]: the files that a voter writes if it has a state folder.
 //!
-//! A node that knows no server answers a heartbeat:
+//! In this example, a node without any server answers a caller's heartbeat:
 //!
 //! ```
 //! use ochrelead_core::controller::Controller;
@@ -30,8 +31,8 @@
 //! let heartbeat = b"{\"t\":\"hb\",\"ref\":\"0000000000000001\",\"f\":{},\"c\":0}\n";
 //! engine.handle_input(now, Input::CallerData(caller, heartbeat));
 //! engine.process(now);
-//! let answer = engine.poll_output();
-//! assert!(matches!(answer, Some(Output::SendToCaller(to, _)) if to == caller));
+//! let output = engine.poll_output();
+//! assert!(matches!(output, Some(Output::SendToCaller(to, _)) if to == caller));
 //! ```
 
 #![warn(missing_docs)]
--- a/crates/ochrelead-node/src/server_table.rs
+++ b/crates/ochrelead-node/src/server_table.rs
@@ -1,7 +1,8 @@
-//! The signalling servers by index, and the connections to each. State only: the engine connects, sends and closes.
+//! The table of signalling servers and of the connections to them. It holds state only: the engine opens connections,
+//! sends on them and closes them.
 //!
-//! An index belongs to one server for as long as anything refers to it. Once the table is full, the index of a removed
-//! server is used again.
+//! Each server has an index, which stays assigned to it while a call or a connection refers to it. Once the table is
+//! full, the indices of removed servers are reused.
 
 mod connections;
 
@@ -30,21 +31,21 @@
     /// The zone that the endpoint list names for it.
     pub(crate) zone: Option<String>,
     pub(crate) connections: Vec<ServerConnectionId>,
-    /// INVITEs that wait for a connection.
+    /// Sessions whose INVITEs are queued until a connection is available.
     pub(crate) waiting_invites: Vec<SessionIx>,
-    /// Releases that wait for a connection.
+    /// Calls whose releases are queued until a connection is available.
     pub(crate) pending_releases: Vec<CallId>,
-    /// When the last message arrived from it, or the last connection was established.
+    /// When the server last sent a message or a connection to it was last established.
     pub(crate) last_heard: Moment,
-    /// When its last message arrived that was not the response to a health check.
+    /// When the server last sent a message other than the response to a health check.
     pub(crate) last_unprompted: Moment,
-    /// When a peer last heard it.
+    /// When another front last received a message from the server, as far as that front has reported it.
     pub(crate) last_heard_by_peer: Option<Moment>,
-    /// Connection attempts that timed out since it was last heard.
+    /// Connection attempts that timed out since `last_heard`.
     pub(crate) failed_connects: u32,
-    /// No connection is attempted before.
+    /// The earliest time of the next connection attempt.
     pub(crate) reconnect_at: Moment,
-    /// A connection has ended on which a release may have been lost; the server repeats it on the next one.
+    /// Whether a release may have been lost with a connection that ended. The server repeats it on the next connection.
     pub(crate) awaits_repeated_releases: bool,
 }
 
@@ -76,25 +77,25 @@
         matches!(self.state, EndpointState::Ready { .. })
     }
 
-    /// Whether it has been silent for so long that it needs a probe.
+    /// Whether neither this node nor a peer has heard the server for `SILENCE_THRESHOLD`, after which it is probed.
     pub(crate) fn is_silent(&self, now: Moment) -> bool {
         now.since(effective_last_heard(self.last_heard, self.last_heard_by_peer))
             >= protocol::SILENCE_THRESHOLD
     }
 }
 
-/// What an endpoint change means for the calls and connections of a server.
+/// A consequence of an endpoint change for the calls and connections of one server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ServerTransition {
-    /// It takes no new calls.
+    /// The server accepts no new calls.
     Closed(ServerIx),
-    /// The process that ran before this moment has ended, and its calls with it.
+    /// The server's process started at this time: calls set up with an earlier process have ended.
     Restarted(ServerIx, Moment),
-    /// Another server listens at its address: it has ended, whatever answers there.
+    /// Another server now listens on this server's address: this one has ended, even if the address still responds.
     Displaced(ServerIx),
 }
 
-/// What follows from a change of the endpoint list.
+/// The consequences of a change of the endpoint list.
 #[derive(Default)]
 pub(crate) struct EndpointChanges {
     /// The updates for the controller.
@@ -102,12 +103,12 @@
     pub(crate) transitions: Vec<ServerTransition>,
 }
 
-/// All servers and the connections to them.
+/// All known servers and the connections to them.
 pub(crate) struct ServerTable {
     servers: Vec<Server>,
     by_id: HashMap<String, ServerIx>,
     connections: BTreeMap<ServerConnectionId, ServerConnection>,
-    /// Removed servers, the first removed first.
+    /// Removed servers in the order of their removal, oldest first.
     gone: VecDeque<ServerIx>,
     capacity: usize,
     last_connection: u64,
@@ -141,12 +142,12 @@
         (0..self.servers.len()).map(ServerIx::new)
     }
 
-    /// Whether any server with the number is or was listed.
+    /// Whether the table has a server with this number, removed servers included.
     pub(crate) fn knows_number(&self, number: i64) -> bool {
         self.servers.iter().any(|server| server.number == number)
     }
 
-    /// Applies a change of the endpoint list. `is_unused` tells whether no call refers to a server any more.
+    /// Applies a change of the endpoint list. `is_unused` returns true for a server that no call refers to.
     pub(crate) fn apply(
         &mut self,
         change: &EndpointChange,
@@ -168,7 +169,7 @@
         changes
     }
 
-    /// Removes the servers that a complete list no longer names.
+    /// Marks the servers that are missing from a complete list as gone.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint], changes: &mut EndpointChanges) {
         let is_listed = |server: &Server| endpoints.iter().any(|endpoint| endpoint.id == server.id);
         let missing: Vec<ServerIx> = self
@@ -181,12 +182,12 @@
         }
     }
 
-    /// Removes the servers at the address of a new one.
+    /// Marks the servers whose address a new server has taken over as gone.
     fn displace_others(&mut self, new: ServerIx, address: SocketAddr, changes: &mut EndpointChanges) {
         let displaced: Vec<ServerIx> =
             self.indices().filter(|server| *server != new && self.get(*server).address == address).collect();
         for server in displaced {
-            // Whatever the list still says of it: what is sent there would reach the new one.
+            // This overrides the state in the list: a message to the previous server would reach the new one.
             if !self.get(server).is_gone() {
                 let number = self.get(server).number;
                 let state = EndpointState::Gone;
@@ -197,16 +198,16 @@
         }
     }
 
-    /// Copies a listed entry into its server.
+    /// Updates a server from its entry in the endpoint list.
     fn update(&mut self, index: ServerIx, endpoint: &Endpoint, changes: &mut EndpointChanges) {
         let server = self.get_mut(index);
-        let former = server.state;
+        let previous = server.state;
         server.address = endpoint.address;
         server.number = endpoint.number;
         server.state = endpoint.state;
         server.zone.clone_from(&endpoint.zone);
         if let EndpointState::Ready { started: Some(started) } = endpoint.state
-            && !matches!(former, EndpointState::Ready { started: Some(known) } if known >= started)
+            && !matches!(previous, EndpointState::Ready { started: Some(known) } if known >= started)
         {
             changes.transitions.push(ServerTransition::Restarted(index, started));
         }
@@ -231,7 +232,8 @@
         }
     }
 
-    /// The index of a listed server; `None` where it is unknown and gone, or the table is full of live ones.
+    /// Returns the index of a listed server and adds the server if it is new. Returns `None` if a new server is listed as
+    /// gone, or if the table is full and no index can be reused.
     fn find_or_insert(
         &mut self,
         endpoint: &Endpoint,
@@ -252,16 +254,16 @@
         } else {
             let server = self.reusable_index(endpoint.number, is_unused)?;
             self.gone.retain(|gone| *gone != server);
-            let former = std::mem::replace(self.get_mut(server), new);
-            self.by_id.remove(&former.id);
+            let previous = std::mem::replace(self.get_mut(server), new);
+            self.by_id.remove(&previous.id);
             server
         };
         self.by_id.insert(endpoint.id.clone(), server);
         Some(server)
     }
 
-    /// The index of a removed server that nothing refers to. The controller takes a reused index for a restart of the
-    /// same server, which fits best where the number is the same.
+    /// Returns the index of a removed server without connections or calls. The controller treats a reused index as a
+    /// restart of the same server, so a server with the same number is preferred.
     fn reusable_index(&self, number: i64, is_unused: impl Fn(ServerIx) -> bool) -> Option<ServerIx> {
         let is_free = |server: &&ServerIx| self.get(**server).connections.is_empty() && is_unused(**server);
         let has_number = |server: &&ServerIx| self.get(**server).number == number;
--- a/crates/ochrelead-node/src/server_table/connections.rs
+++ b/crates/ochrelead-node/src/server_table/connections.rs
@@ -1,4 +1,4 @@
-//! The connections to the signalling servers.
+//! The connections of the server table: their states, and which one is used or closed next.
 
 use std::cmp::Reverse;
 
@@ -10,26 +10,27 @@
 use crate::bounds::protocol;
 use crate::io::ServerConnectionId;
 
-/// How far a connection to a server is.
+/// The state of a connection to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionState {
     Connecting,
     Open,
-    /// The node sends nothing more and reads until the server closes it too: a release may still be in flight.
+    /// The node has shut the connection down for writing. It reads until the server closes too, since a release may
+    /// still be in flight.
     HalfClosed,
 }
 
-/// One connection.
+/// One connection to a server.
 #[derive(Debug)]
 pub(crate) struct ServerConnection {
     pub(crate) server: ServerIx,
     pub(crate) state: ConnectionState,
-    /// When it entered its state.
+    /// When the connection entered its state.
     pub(crate) since: Moment,
     pub(crate) framer: Framer,
-    /// When the message that has arrived in part began.
+    /// When the first bytes of a message that is still incomplete arrived.
     pub(crate) partial_since: Option<Moment>,
-    /// The sessions whose INVITEs are in flight on it.
+    /// The sessions whose INVITEs are in flight on this connection.
     pub(crate) sessions: Vec<SessionIx>,
     pub(crate) last_used: Moment,
 }
@@ -39,7 +40,7 @@
         self.state == ConnectionState::Open && self.sessions.is_empty()
     }
 
-    /// Whether the next state, or the rest of a message, is overdue.
+    /// Whether the connection has been connecting, half-closed or receiving one message for longer than allowed.
     fn is_stalled(&self, now: Moment, connect_timeout: Span) -> bool {
         match self.state {
             ConnectionState::Connecting => now.since(self.since) >= connect_timeout,
@@ -52,7 +53,7 @@
 }
 
 impl ServerTable {
-    /// Adds a connection that is about to be established.
+    /// Adds a connection in the state `Connecting`.
     pub(crate) fn add_connection(&mut self, server: ServerIx, now: Moment) -> ServerConnectionId {
         self.last_connection += 1;
         let id = ServerConnectionId(self.last_connection);
@@ -111,20 +112,20 @@
         self.connection(id).is_some_and(|connection| connection.state == ConnectionState::Open)
     }
 
-    /// The number of attempts in progress to connect to a server.
+    /// The number of connection attempts to a server that are in progress.
     pub(crate) fn connecting_count(&self, server: ServerIx) -> usize {
         let is_connecting = |connection: &ServerConnection| connection.state == ConnectionState::Connecting;
         self.connections_to(server).filter(|(_, connection)| is_connecting(connection)).count()
     }
 
-    /// The number of connections that count against a server's share: all but the half-closed ones.
+    /// The number of connections that count towards a server's share: all except half-closed ones.
     pub(crate) fn active_count(&self, server: ServerIx) -> usize {
         let is_active = |connection: &ServerConnection| connection.state != ConnectionState::HalfClosed;
         self.connections_to(server).filter(|(_, connection)| is_active(connection)).count()
     }
 
-    /// The connection for the next message to a server: the one with the fewest INVITEs in flight, of those one that is
-    /// not in the middle of a message, of those the one used last.
+    /// Selects the connection for the next message to a server: the one with the fewest INVITEs in flight, then one
+    /// without a partially received message, then the most recently used one.
     pub(crate) fn select_connection(&self, server: ServerIx) -> Option<ServerConnectionId> {
         let load = |connection: &ServerConnection| {
             (connection.sessions.len(), connection.partial_since.is_some(), Reverse(connection.last_used))
@@ -132,7 +133,7 @@
         self.open_connections(server).min_by_key(|(_, connection)| load(connection)).map(|(id, _)| id)
     }
 
-    /// The open connections to a server without an INVITE in flight, the least recently used first.
+    /// The idle connections to a server (open, no INVITE in flight), least recently used first.
     pub(crate) fn idle_connections(&self, server: ServerIx) -> Vec<ServerConnectionId> {
         let mut idle: Vec<(Moment, ServerConnectionId)> = self
             .connections_to(server)
@@ -143,7 +144,7 @@
         idle.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// The least recently used idle connection to any server.
+    /// The least recently used idle connection among those to all servers.
     pub(crate) fn least_recently_used(&self) -> Option<ServerConnectionId> {
         self.connections
             .iter()
@@ -152,8 +153,9 @@
             .map(|(id, _)| *id)
     }
 
-    /// Connections to give up: those not established in time, those with a message incomplete for as long (what follows
-    /// can't be read), and half-closed ones whose servers keep silent.
+    /// The connections to close: those that have been connecting, or waiting for the rest of a message, for
+    /// `connect_timeout` (nothing behind an incomplete message can be read), and those half-closed for
+    /// `SILENCE_THRESHOLD`.
     pub(crate) fn stalled_connections(&self, now: Moment, connect_timeout: Span) -> Vec<ServerConnectionId> {
         self.connections
             .iter()
@@ -162,7 +164,8 @@
             .collect()
     }
 
-    /// How many of `total` connections one server may have: an even share among those not removed, at least one.
+    /// How many of `total` connections one server may have: an even share among the servers that are not gone, at least
+    /// one.
     pub(crate) fn share_per_server(&self, total: usize) -> usize {
         let live = self.servers.iter().filter(|server| !server.is_gone()).count();
         (total / live.max(1)).max(1)
