--- a/crates/ochrelead-front/tests/soak.rs
+++ b/crates/ochrelead-front/tests/soak.rs
@@ -1,5 +1,5 @@
-//! Several real processes between emulated parties, with faults, judged by the platform's rules. Longer:
-//! `ochrelead-verify soak 0..50`.
+//! Trials of several real node processes among emulated servers, coordinators and callers, with faults. Each trial is
+//! checked against the platform's rules. `ochrelead-verify soak 0..50` runs more trials.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -15,26 +15,27 @@
 use ochrelead_verify::soak::trial;
 
 const SEEDS: u64 = 16;
-/// Trials at a time: more would be late for want of processors.
-const PARALLEL: u8 = 6;
+/// The number of concurrent trials. With more, processes miss deadlines for lack of processor time.
+const PARALLEL_TRIALS: u8 = 6;
 
-/// Tells the trials of this process apart.
-static SLOTS: AtomicU8 = AtomicU8::new(0);
-/// Trials measure time: one test at a time.
-static MACHINE: Mutex<()> = Mutex::new(());
+/// The number of trials that this process has started, from which each gets its own slot.
+static TRIALS_STARTED: AtomicU8 = AtomicU8::new(0);
+/// Locked by each test while it runs: trials measure time, so tests must not run concurrently.
+static TEST_LOCK: Mutex<()> = Mutex::new(());
 
-/// Runs a scenario; what it broke, with the evidence.
-fn broken_rules(name: &str, scenario: &Scenario) -> String {
+/// Runs a trial of a scenario and returns the violated rules with their evidence.
+fn run_trial(name: &str, scenario: &Scenario) -> String {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("soak").join(name);
     let program = Path::new(env!("CARGO_BIN_EXE_ochrelead-front"));
-    let slot = SLOTS.fetch_add(1, Ordering::Relaxed);
+    let slot = TRIALS_STARTED.fetch_add(1, Ordering::Relaxed);
     let config = TrialConfig::new(program, &folder, scenario.seed, slot);
-    let report = trial::run(scenario, &config).expect("the parties start");
-    assert!(report.set_ups > 50, "the callers sent {} set-ups", report.set_ups);
+    let report = trial::run(scenario, &config).expect("the trial starts");
+    assert!(report.set_ups > 50, "the callers sent only {} set-ups", report.set_ups);
     report.violations.iter().map(ToString::to_string).collect()
 }
 
-/// A trial of which only the steps are given.
+/// A scenario of four nodes with these steps, without idle connections and impatient callers. What is not given here is
+/// drawn with seed 0.
 fn scenario(deadline: Duration, length: Duration, steps: &[(u64, Step)]) -> Scenario {
     let scheduled =
         |(at_ms, step): &(u64, Step)| Scheduled { at: Duration::from_millis(*at_ms), step: *step };
@@ -50,48 +51,50 @@
 }
 
 #[test]
-fn drain_at_the_end_of_a_silence_of_discovery_is_followed_within_the_grace() {
-    let _machine = MACHINE.lock();
+fn drain_after_discovery_was_silent_is_applied_within_the_grace_period() {
+    let _lock = TEST_LOCK.lock();
     let length = Duration::from_millis(2_800);
-    let silence = Step::FailDiscovery { node: None, fault: DiscoveryFault::Silent, length };
+    let silent_discovery = Step::FailDiscovery { node: None, fault: DiscoveryFault::Silent, length };
     let drain = Step::Replace { server: 0, drain_time: Duration::from_secs(3) };
-    let steps = [(1_500, silence), (4_200, drain)];
-    let broken =
-        broken_rules("silence", &scenario(Duration::from_secs(3), Duration::from_millis(6_500), &steps));
-    assert!(broken.is_empty(), "{broken}");
+    let steps = [(1_500, silent_discovery), (4_200, drain)];
+    let violations =
+        run_trial("silence", &scenario(Duration::from_secs(3), Duration::from_millis(6_500), &steps));
+    assert!(violations.is_empty(), "{violations}");
 }
 
-/// Drains, one after another, while the coordinators write the last number in this form, a second after each request.
-fn drains_with_numbers(number_form: NumberForm) -> String {
+/// Drains three servers in turn while the coordinators write the last event index in this form, a second after each
+/// request. Returns the violated rules.
+fn run_drains_with_index_form(number_form: NumberForm) -> String {
     let faults = WriteFaults { number_form, late_first_number: true, ..Default::default() };
     let mut steps = vec![(0, Step::SetWriteFaults { node: None, faults })];
     for (server, at_ms) in [(0, 6_000), (1, 10_500), (2, 15_000)] {
         steps.push((at_ms, Step::Replace { server, drain_time: Duration::from_secs(3) }));
     }
     let scenario = scenario(Duration::from_secs(3), Duration::from_secs(17), &steps);
-    broken_rules(&format!("{number_form:?}"), &scenario)
+    run_trial(&format!("{number_form:?}"), &scenario)
 }
 
 #[test]
-fn unreadable_numbers_of_the_coordinator_delay_no_drain() {
-    let _machine = MACHINE.lock();
-    let broken = drains_with_numbers(NumberForm::Unreadable);
-    assert!(broken.is_empty(), "{broken}");
+fn unreadable_last_index_of_the_coordinator_delays_no_drain() {
+    let _lock = TEST_LOCK.lock();
+    let violations = run_drains_with_index_form(NumberForm::Unreadable);
+    assert!(violations.is_empty(), "{violations}");
 }
 
 #[test]
-fn bare_numbers_of_the_coordinator_are_read() {
-    let _machine = MACHINE.lock();
-    let broken = drains_with_numbers(NumberForm::Bare);
-    assert!(broken.is_empty(), "{broken}");
+fn last_index_written_as_a_bare_number_delays_no_drain() {
+    let _lock = TEST_LOCK.lock();
+    let violations = run_drains_with_index_form(NumberForm::Bare);
+    assert!(violations.is_empty(), "{violations}");
 }
 
 #[test]
-fn set_ups_that_arrive_late_in_a_shutdown_are_answered_before_the_kill() {
-    let _machine = MACHINE.lock();
+fn set_ups_received_late_in_a_shutdown_are_answered_before_the_kill() {
+    let _lock = TEST_LOCK.lock();
     let hang =
         |server| Step::Behave { server, behaviour: Behaviour::Hanging, length: Duration::from_secs(9) };
-    // A node soon leaves a server alone that hangs: not all hang at once, so that calls are on their way to one.
+    // Nodes soon stop sending to a server that hangs. The servers hang one after another, so that at each termination
+    // some calls are in flight to a hanging server.
     let steps = [
         (1_400, hang(0)),
         (1_500, Step::Terminate(0)),
@@ -100,13 +103,13 @@
         (2_500, Step::Terminate(2)),
         (3_200, hang(2)),
     ];
-    let broken = broken_rules("late", &scenario(Duration::from_secs(9), Duration::from_secs(8), &steps));
-    assert!(broken.is_empty(), "{broken}");
+    let violations = run_trial("late", &scenario(Duration::from_secs(9), Duration::from_secs(8), &steps));
+    assert!(violations.is_empty(), "{violations}");
 }
 
 #[test]
-fn drain_announced_while_a_node_stands_still_is_followed_at_once() {
-    let _machine = MACHINE.lock();
+fn drain_announced_while_the_nodes_are_paused_is_applied_as_they_resume() {
+    let _lock = TEST_LOCK.lock();
     let mut steps = Vec::new();
     for (server, at_ms) in [(0, 1_500), (1, 3_500), (2, 5_500), (0, 7_500)] {
         let stall = |node| Step::Stall { node, length: Duration::from_millis(700) };
@@ -114,22 +117,23 @@
         steps.push((at_ms + 50, Step::Replace { server, drain_time: Duration::from_secs(3) }));
     }
     let scenario = scenario(Duration::from_secs(3), Duration::from_secs(10), &steps);
-    let broken = broken_rules("stall", &Scenario { rate: 60.0, ..scenario });
-    assert!(broken.is_empty(), "{broken}");
+    let violations = run_trial("stall", &Scenario { rate: 60.0, ..scenario });
+    assert!(violations.is_empty(), "{violations}");
 }
 
 #[test]
-fn every_rule_holds_in_seeded_trials() {
-    let _machine = MACHINE.lock();
+fn no_rule_is_violated_in_seeded_trials() {
+    let _lock = TEST_LOCK.lock();
     let run = |first: u64| {
-        let seeds = (first..SEEDS).step_by(usize::from(PARALLEL));
-        let broken = seeds.map(|seed| (seed, broken_rules("seeded", &Scenario::draw(seed, None))));
-        broken.filter(|(_, broken)| !broken.is_empty()).collect::<Vec<_>>()
+        let seeds = (first..SEEDS).step_by(usize::from(PARALLEL_TRIALS));
+        let outcomes = seeds.map(|seed| (seed, run_trial("seeded", &Scenario::draw(seed, None))));
+        outcomes.filter(|(_, violations)| !violations.is_empty()).collect::<Vec<_>>()
     };
-    let broken: Vec<(u64, String)> = thread::scope(|scope| {
-        let trials: Vec<_> = (0..u64::from(PARALLEL)).map(|first| scope.spawn(move || run(first))).collect();
+    let failed: Vec<(u64, String)> = thread::scope(|scope| {
+        let trials: Vec<_> =
+            (0..u64::from(PARALLEL_TRIALS)).map(|first| scope.spawn(move || run(first))).collect();
         trials.into_iter().flat_map(|trial| trial.join().unwrap()).collect()
     });
-    let report = |(seed, broken): &(u64, String)| format!("seed {seed}:\n{broken}");
-    assert!(broken.is_empty(), "{}", broken.iter().map(report).collect::<String>());
+    let report = |(seed, violations): &(u64, String)| format!("seed {seed}:\n{violations}");
+    assert!(failed.is_empty(), "{}", failed.iter().map(report).collect::<String>());
 }
