--- a/crates/ochrelead-zone/src/codec.rs
+++ b/crates/ochrelead-zone/src/codec.rs
@@ -1,4 +1,4 @@
-//! The wire format of [`Message`], sized for one part of a datagram between fronts.
+//! The wire format of [`Message`]. Each encoded message fits into one part of a datagram between fronts.
 
 use ochrelead_core::time::Span;
 use prost::Message as _;
@@ -9,20 +9,20 @@
 use crate::schema::{self, message::Body};
 use crate::{MAX_ZONES, ServerKey, ZoneId};
 
-/// Longest encoded message, in bytes: what a datagram leaves beside its own header and that of a part.
+/// Longest encoded message, in bytes: the size of a datagram less its header and the header of the part.
 pub const MAX_MESSAGE_BYTES: usize = 232;
-/// Shares are encoded in ten-thousandths.
+/// Shares are encoded as integers in units of 1/10,000.
 pub const SHARE_SCALE: f64 = 10_000.0;
 
-/// Key and length of the report within its message.
+/// Bytes of the field key and length of the report within its message.
 const REPORT_HEADER_BYTES: usize = 4;
-/// Key and length of one sample within its report.
+/// Bytes of the field key and length of one sample within its report.
 const SAMPLE_HEADER_BYTES: usize = 2;
 
 const DRAINED: u32 = 1;
 const RECOVERING: u32 = 2;
 
-/// Encodes a message: as one datagram part, or as several where a report is too long for one.
+/// Encodes a message as one datagram part, or as several if a report is too long for one.
 pub fn encode(message: &Message) -> Vec<Vec<u8>> {
     match message {
         Message::Verdicts { zone, sequence, ttl, shares } => {
@@ -41,7 +41,8 @@
     }
 }
 
-/// Decodes a message. `None` where it is malformed, out of range or of a kind that this version does not know.
+/// Decodes a message. Returns `None` if it is malformed, has a value out of range, or is of a kind that this version
+/// does not know.
 pub fn decode(bytes: &[u8]) -> Option<Message> {
     match schema::Message::decode(bytes).ok()?.body? {
         Body::Report(report) => Some(Message::Report {
@@ -62,7 +63,7 @@
     }
 }
 
-/// Zones are encoded plus one: zero means that the field is missing.
+/// Zones are encoded as their index plus one; zero means that the field is missing.
 fn encode_zone(zone: ZoneId) -> u32 {
     zone.0.saturating_add(1)
 }
@@ -88,7 +89,7 @@
         share: (f64::from(encoded.share) / SHARE_SCALE).min(1.0),
         reason: match encoded.reason {
             DRAINED => ShareReason::Drained,
-            // Also a reason that a newer version has added: the share holds all the same.
+            // Also any reason that a newer version adds: the share applies whatever the reason.
             _ => ShareReason::Recovering,
         },
     })
@@ -106,19 +107,19 @@
     Some(ServerSample { server, outcomes })
 }
 
-/// Spreads samples over as many reports as it takes for each to fit into a message.
+/// Splits samples into reports that each fit into a message.
 fn split_report(zone: ZoneId, samples: &[ServerSample]) -> Vec<schema::Report> {
     let empty = || schema::Report { zone: encode_zone(zone), samples: Vec::new() };
-    let mut full = Vec::new();
-    let mut report = empty();
+    let mut reports = Vec::new();
+    let mut current = empty();
     for sample in samples {
         let sample = encode_sample(sample);
-        let length = report.encoded_len() + sample.encoded_len() + SAMPLE_HEADER_BYTES;
+        let length = current.encoded_len() + sample.encoded_len() + SAMPLE_HEADER_BYTES;
         if length > MAX_MESSAGE_BYTES - REPORT_HEADER_BYTES {
-            full.push(std::mem::replace(&mut report, empty()));
+            reports.push(std::mem::replace(&mut current, empty()));
         }
-        report.samples.push(sample);
+        current.samples.push(sample);
     }
-    full.push(report);
-    full
+    reports.push(current);
+    reports
 }
--- a/crates/ochrelead-zone/src/engine/observer.rs
+++ b/crates/ochrelead-zone/src/engine/observer.rs
@@ -1,4 +1,4 @@
-//! The observer's role: aggregates reports and decides on the shares of all zones.
+//! The observer's role: aggregates reports and sets the shares of all zones.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
     shares: Vec<ZoneShare>,
 }
 
-/// What a front keeps while it is the observer of its zone.
+/// State of a front that is the observer of its zone.
 #[derive(Clone, Debug)]
 pub(super) struct Observer {
     config: ZoneConfig,
@@ -29,7 +29,7 @@
 }
 
 impl Observer {
-    /// An observer that resumes the shares that a former one had in force.
+    /// Creates an observer that resumes the shares of the previous one.
     pub(super) fn new(
         config: ZoneConfig,
         locations: &[ServerLocation],
@@ -53,7 +53,7 @@
         self.aggregate.on_report(now, front, samples);
     }
 
-    /// Evaluates all zones and advances their ramps. Returns the shares if they are to be announced now.
+    /// Evaluates all zones and advances their ramps. Returns the shares if they have changed or an announcement is due.
     pub(super) fn process(&mut self, now: Moment, zones: &[ZoneId]) -> Option<Vec<ZoneShare>> {
         self.aggregate.expire(now);
         self.advance_ramps(now, zones);
@@ -79,7 +79,8 @@
         }
     }
 
-    /// The zones that are not in full use. Never all of them: the one with the largest share is then left in full use.
+    /// Returns the shares of the zones that are not in full use. If that were all zones, the one with the largest share
+    /// is left out, which puts it in full use.
     fn shares(&self, zone_count: usize) -> Vec<ZoneShare> {
         let mut shares: Vec<ZoneShare> = self.ramps.iter().filter_map(zone_share).collect();
         if shares.len() >= zone_count
@@ -94,7 +95,7 @@
 
 fn zone_share((zone, ramp): (&ZoneId, &ZoneRamp)) -> Option<ZoneShare> {
     let (share, reason) = ramp.share()?;
-    // Rounded as it is encoded, so that it is the same here and at all other fronts.
+    // Rounded to the precision of the wire format, so that the observer uses the same share as all other fronts.
     let share = (share * codec::SHARE_SCALE).round() / codec::SHARE_SCALE;
     Some(ZoneShare { zone: *zone, share, reason })
 }
--- a/crates/ochrelead-zone/src/engine/sequence_filter.rs
+++ b/crates/ochrelead-zone/src/engine/sequence_filter.rs
@@ -1,10 +1,10 @@
-//! Drops verdicts that arrive after later ones of the same observer.
+//! Drops duplicated verdicts, and verdicts that arrive after later ones of the same observer.
 
 use std::collections::BTreeMap;
 
 use ochrelead_gossip::MemberId;
 
-/// Observers that are remembered; messages of any beyond are dropped.
+/// Limit of the observers that are tracked; messages of further observers are dropped.
 const MAX_OBSERVERS: usize = 1_024;
 
 #[derive(Clone, Copy, Debug)]
@@ -13,14 +13,14 @@
     sequence: u32,
 }
 
-/// The latest sequence number of each observer, by front.
+/// The latest sequence number of each observer, by front number.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SequenceFilter {
     last: BTreeMap<u32, LastSequence>,
 }
 
 impl SequenceFilter {
-    /// Whether a message is later than all before it of the same observer; if so, it becomes the latest.
+    /// Returns whether a message is later than all previous ones of the same observer, and records it if so.
     pub(super) fn accept(&mut self, from: MemberId, sequence: u32) -> bool {
         if self.last.len() >= MAX_OBSERVERS && !self.last.contains_key(&from.front) {
             return false;
@@ -39,7 +39,7 @@
     }
 }
 
-/// Incarnation numbers wrap around.
+/// Compares incarnation numbers, which wrap around.
 fn is_later_incarnation(incarnation: u32, other: u32) -> bool {
     incarnation.wrapping_sub(other) < u32::MAX / 2
 }
--- a/crates/ochrelead-zone/src/lib.rs
+++ b/crates/ochrelead-zone/src/lib.rs
@@ -1,20 +1,21 @@
-//! Zone failover for a fleet of fronts: draining a failed zone together, and returning to it no faster than its servers
-//! can bear.
+//! Zone failover for a fleet of fronts: all fronts drain a failed zone together, and ramp it up no faster than its
+//! servers can handle.
 //!
-//! A single front sees a few sessions per second spread over tens of servers. On its own it notices the failure of a zone
-//! late, and it notices the recovery when all other fronts do, which would overload servers that start cold. So the fronts
-//! of a zone report the outcomes of their INVITEs to one of them, the observer. The observer decides for all of them which
-//! share of their sessions the servers of each zone take.
+//! A single front sends a few sessions per second to tens of servers. From these alone it would detect the failure of a
+//! zone late, and it would detect the recovery at the same time as all other fronts, whose load would then overload
+//! servers that start cold. So the fronts of a zone report the outcomes of their INVITEs to one of them, the observer.
+//! The observer decides for all of them which share of their sessions the servers of each zone take.
 //!
-//! - [`outcome_reporter`]: counts what one front sees at each server: INVITEs answered in time, late, or lost.
-//! - [`outcome_aggregate`]: adds up the reports of all fronts of a zone, at its observer.
+//! - [`outcome_reporter`]: counts the outcomes of one front at each server: INVITEs answered in time, late, or lost.
+//! - [`outcome_aggregate`]: aggregates the reports of all fronts of a zone, at its observer.
 //! - [`verdict`]: decides from these statistics whether a zone is unreachable, with a bound on false positives.
 //! - [`ramp`]: turns verdicts into shares over time: drain at once, recover step by step.
-//! - [`message`], [`codec`]: what fronts send each other, and its wire format.
-//! - [`engine`]: one front's part in all of this, without I/O.
+//! - [`message`], [`codec`]: the messages between fronts, and their wire format.
+//! - [`engine`]: combines these for one front, without I/O.
 //!
-//! A share never makes a decision legal or illegal: it only limits how often a server is eligible, at all fronts alike.
-//! Verdicts expire when the observer falls silent; each front then continues as it would alone.
+//! A share does not change which routing decisions are allowed: it only limits how often a server is eligible, in the
+//! same way at all fronts. Verdicts expire if the observer stops sending them; each front then uses all zones in full
+//! again.
 //!
 //! ```
 //! use ochrelead_core::time::{Moment, Span};
@@ -27,7 +28,7 @@
 //! let mut engine = Engine::new(MemberId { front: 0, incarnation: 1 }, ZoneId(0), config, 7, start);
 //! engine.on_server_locations(&[ServerLocation { server: ServerKey::from_name("s-1"), zone: ZoneId(1) }]);
 //!
-//! // Nobody else announces itself as the observer, so this front takes the role and informs all others.
+//! // No other front announces itself as the observer, so this one takes the role and notifies all others.
 //! let later = start + Span::from_secs(1);
 //! engine.process(later);
 //! assert!(engine.is_observer());
@@ -55,14 +56,14 @@
     include!(concat!(env!("OUT_DIR"), "/ochrelead.zone.rs"));
 }
 
-/// A zone, by its index in the list of zones that all fronts are configured with alike.
+/// A zone, identified by its index in the configured list of zones, which is the same at all fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// Number of zones that are tracked; a zone with a higher index is treated as no zone at all.
+/// Number of zones that are tracked; a server in a zone with a higher index is treated as being in no zone.
 pub const MAX_ZONES: u32 = 16;
 
-/// A server, by a hash of its name that is the same at all fronts.
+/// A server, identified by a hash of its name, which is the same at all fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerKey(pub u16);
 
@@ -72,7 +73,7 @@
 impl ServerKey {
     /// Hashes a server's name: 32-bit FNV-1a, folded to 16 bits by XOR.
     ///
-    /// Two servers of a fleet whose names share a key are treated as one: their outcomes add up.
+    /// Two servers whose names have the same hash are treated as one server with the outcomes of both.
     pub fn from_name(name: &str) -> ServerKey {
         let hash = name
             .bytes()
@@ -82,7 +83,7 @@
     }
 }
 
-/// A server in service and the zone that it is in.
+/// A server in service and its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLocation {
     /// The server.
@@ -94,21 +95,22 @@
 /// Timing of zone failover. It must be the same at all fronts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneConfig {
-    /// An INVITE without an answer counts as lost after this time. An answer after it counts as late, though it may still
-    /// be in time for its caller.
+    /// An INVITE without an answer counts as lost after this time. A later answer counts as late here, even if it still
+    /// meets the post-dial target.
     pub loss_timeout: Span,
-    /// Factor by which the share of a recovering zone grows when the previous step was answered in time.
+    /// Factor by which the share of a recovering zone grows if enough INVITEs of the current step were answered in
+    /// time.
     pub growth_factor: f64,
 }
 
-/// Part of the shortest post-dial target after which an INVITE counts as lost.
+/// The loss timeout is the shortest post-dial target divided by this number.
 const LOSS_TIMEOUT_DIVISOR: u64 = 8;
-/// Post-dial target where the configuration has none.
+/// Post-dial target if the configuration has none.
 const DEFAULT_POST_DIAL_TARGET: Span = Span::from_secs(1);
-/// Overload multiple where the configuration has none (the bench's platform configures 2 and more).
+/// Overload multiple if the configuration has none (the bench's platform configures 2 or more).
 const DEFAULT_OVERLOAD_MULTIPLE: f64 = 2.0;
-/// Share of the overload multiple that one step of a recovery may use.
-const OVERLOAD_SAFETY_MARGIN: f64 = 0.8;
+/// The growth factor is the overload multiple times this fraction, within the limits below.
+const MAX_OVERLOAD_SHARE: f64 = 0.8;
 const MIN_GROWTH_FACTOR: f64 = 1.25;
 const MAX_GROWTH_FACTOR: f64 = 2.0;
 
@@ -118,8 +120,9 @@
 impl ZoneConfig {
     /// Derives the timing from the controller's configuration.
     ///
-    /// What a server answers in time is within its capacity, and it fails when it is sent more than the overload multiple of
-    /// that, so a step grows by [`ZoneConfig::growth_factor`], somewhat less than this multiple.
+    /// The load that a server answers in time is within its capacity, and the server fails at more than the overload
+    /// multiple of that load. So [`ZoneConfig::growth_factor`] is this multiple less a safety margin, within fixed
+    /// limits.
     pub fn from_controller(controller: &ControllerConfig) -> ZoneConfig {
         let target = controller.services.iter().map(|service| service.post_dial_target).min();
         let target = target.filter(|target| *target > Span::ZERO).unwrap_or(DEFAULT_POST_DIAL_TARGET);
@@ -130,7 +133,7 @@
         };
         ZoneConfig {
             loss_timeout: target / LOSS_TIMEOUT_DIVISOR,
-            growth_factor: (multiple * OVERLOAD_SAFETY_MARGIN).clamp(MIN_GROWTH_FACTOR, MAX_GROWTH_FACTOR),
+            growth_factor: (multiple * MAX_OVERLOAD_SHARE).clamp(MIN_GROWTH_FACTOR, MAX_GROWTH_FACTOR),
         }
     }
 
--- a/crates/ochrelead-zone/src/outcome_aggregate.rs
+++ b/crates/ochrelead-zone/src/outcome_aggregate.rs
@@ -1,8 +1,8 @@
-//! Adds up the reports of all fronts of a zone, at their observer.
+//! Aggregates the reports of all fronts of a zone, at their observer.
 //!
-//! For each server it counts a run of losses: INVITEs lost since the last answer that any front received. A server that is up
-//! ends its run with its next answer; [`crate::verdict`] allows for the answers that may be missing at random. Besides, sliding
-//! windows of answers and losses tell how a recovery goes, and whether a zone is healthy.
+//! For each server it counts a loss run: the INVITEs lost since the last answer that any front received. The next
+//! answer of the server resets the run; [`crate::verdict`] allows for answers that are missing at random. In addition,
+//! sliding windows of answers and losses show the progress of a recovery and whether a zone is healthy.
 
 use std::collections::BTreeMap;
 
@@ -13,24 +13,26 @@
 use crate::verdict::{self, ZoneStats};
 use crate::{ServerKey, ServerLocation, ZoneConfig, ZoneId};
 
-/// How much one report adds at most to the run of a server.
+/// The most losses, and entries in each sliding window, that one report adds for a server.
 const MAX_PER_REPORT: u32 = 3;
-/// Fronts that are distinguished in a run; more make no difference to a verdict.
+/// Limit of the fronts recorded for a loss run; more do not change a verdict.
 const MAX_FRONTS_PER_RUN: usize = 8;
-/// Fronts that are remembered as reporting.
+/// Limit of the reporting fronts; reports of further fronts are ignored.
 const MAX_REPORTERS: usize = 4_096;
-/// Losses in a run from which on a server may count as silent.
+/// Loss run from which a server may count as silent.
 const MIN_SILENT_RUN: u32 = 2;
-/// Runs and reporters are forgotten after this multiple of the loss timeout without an update.
+/// Loss runs and reporting fronts are dropped after this multiple of the loss timeout without an update. An answer
+/// within that time counts as recent for deciding whether a server was contacted and whether a front can receive
+/// answers.
 const RETENTION_FACTOR: u64 = 8;
 
 #[derive(Clone, Debug)]
 struct ServerHistory {
     zone: ZoneId,
-    /// INVITEs lost since the last answer.
+    /// Counted losses since the last answer.
     loss_run: u32,
-    /// The fronts that lost them.
-    losing_fronts: Vec<u32>,
+    /// The fronts that reported these losses.
+    fronts_with_loss: Vec<u32>,
     last_loss_at: Option<Moment>,
     first_answer_at: Option<Moment>,
     last_answer_at: Option<Moment>,
@@ -38,7 +40,7 @@
     in_time: SlidingWindow<4>,
     late: SlidingWindow<4>,
     lost: SlidingWindow<4>,
-    /// Answers over a longer window, for the server's usual rate.
+    /// Answers over a longer window, from which the server's usual answer rate is derived.
     answers: SlidingWindow<8>,
 }
 
@@ -47,7 +49,7 @@
         ServerHistory {
             zone,
             loss_run: 0,
-            losing_fronts: Vec::new(),
+            fronts_with_loss: Vec::new(),
             last_loss_at: None,
             first_answer_at: None,
             last_answer_at: None,
@@ -61,19 +63,20 @@
 
     fn reset_loss_run(&mut self) {
         self.loss_run = 0;
-        self.losing_fronts.clear();
+        self.fronts_with_loss.clear();
     }
 
-    /// Adds one front's sample. `counts_losses` is false for a front that may itself be cut off.
+    /// Adds one front's sample. With `counts_losses` false its losses do not extend the loss run, because the front
+    /// itself may be cut off.
     fn record(&mut self, now: Moment, front: u32, sample: OutcomeSample, counts_losses: bool) {
         let sample = sample.bounded();
         if sample.is_alive || sample.has_answer() {
             self.last_alive_at = Some(now);
         }
-        record_times(&mut self.in_time, now, sample.in_time);
-        record_times(&mut self.late, now, sample.late);
-        record_times(&mut self.lost, now, sample.lost);
-        record_times(&mut self.answers, now, sample.in_time + sample.late);
+        record_count(&mut self.in_time, now, sample.in_time);
+        record_count(&mut self.late, now, sample.late);
+        record_count(&mut self.lost, now, sample.lost);
+        record_count(&mut self.answers, now, sample.in_time + sample.late);
         if sample.has_answer() {
             self.reset_loss_run();
             self.last_answer_at = Some(now);
@@ -81,34 +84,34 @@
         } else if sample.lost > 0 && counts_losses {
             self.loss_run += sample.lost.min(MAX_PER_REPORT);
             self.last_loss_at = Some(now);
-            if self.losing_fronts.len() < MAX_FRONTS_PER_RUN && !self.losing_fronts.contains(&front) {
-                self.losing_fronts.push(front);
+            if self.fronts_with_loss.len() < MAX_FRONTS_PER_RUN && !self.fronts_with_loss.contains(&front) {
+                self.fronts_with_loss.push(front);
             }
         }
     }
 
-    /// Answers that the server would have given since its last one, at the rate that it had then.
+    /// Answers that the server would have given since its last answer, at its rate up to then.
     fn missed_answers(&self, now: Moment) -> f64 {
         match self.first_answer_at.zip(self.last_answer_at) {
             Some((first, last)) => self.answers.rate(last, first) * now.since(last).ratio(Span::from_secs(1)),
-            // This observer has never seen an answer: the INVITEs that were lost are all that it knows of.
+            // Without any answer at this observer there is no known rate: each lost INVITE counts as one missed answer.
             None => f64::from(self.loss_run),
         }
     }
 }
 
-fn record_times<const BUCKETS: usize>(window: &mut SlidingWindow<BUCKETS>, now: Moment, count: u32) {
+fn record_count<const BUCKETS: usize>(window: &mut SlidingWindow<BUCKETS>, now: Moment, count: u32) {
     (0..count.min(MAX_PER_REPORT)).for_each(|_| window.record(now, Span::ZERO));
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Reporter {
     last_report_at: Moment,
-    /// When it last had an answer from any server.
+    /// When it last reported an answer of any server.
     last_answer_at: Option<Moment>,
 }
 
-/// What all fronts of a zone have reported.
+/// The aggregated outcomes that all fronts of a zone have reported.
 #[derive(Clone, Debug)]
 pub struct OutcomeAggregate {
     config: ZoneConfig,
@@ -117,7 +120,7 @@
 }
 
 impl OutcomeAggregate {
-    /// An aggregate without servers and reports.
+    /// Creates an aggregate without servers and reports.
     pub fn new(config: ZoneConfig) -> OutcomeAggregate {
         OutcomeAggregate { config, servers: BTreeMap::new(), reporters: BTreeMap::new() }
     }
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Adds a front's report.
+    /// Adds the report of one front.
     pub fn on_report(&mut self, now: Moment, front: u32, samples: &[ServerSample]) {
         if self.reporters.len() >= MAX_REPORTERS && !self.reporters.contains_key(&front) {
             return;
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Whether a front recently had an answer from any server; false where it has just begun to report and had none.
+    /// Whether a front recently reported an answer of any server. False for a front that has not yet reported one.
     fn has_recent_answer(&self, now: Moment, front: u32) -> bool {
         let reporter = self.reporters.get(&front);
         reporter.is_some_and(|reporter| is_recent(now, reporter.last_answer_at, self.retention()))
@@ -162,7 +165,7 @@
         self.config.loss_timeout * RETENTION_FACTOR
     }
 
-    /// Forgets runs that nobody has added to, and fronts that have stopped reporting.
+    /// Resets loss runs without a recent loss, and drops fronts that have stopped reporting.
     pub fn expire(&mut self, now: Moment) {
         let retention = self.retention();
         for history in self.servers.values_mut() {
@@ -179,36 +182,37 @@
         u32::try_from(self.reporters.len()).unwrap_or(u32::MAX)
     }
 
-    /// Statistics of one zone over all reports.
+    /// Returns the statistics of one zone at `now`.
     pub fn zone_stats(&self, now: Moment, zone: ZoneId) -> ZoneStats {
         let mut stats = ZoneStats::default();
-        let mut losing_fronts: Vec<u32> = Vec::new();
+        let mut fronts_with_loss: Vec<u32> = Vec::new();
         let mut missed_by_server: Vec<f64> = Vec::new();
         for history in self.servers.values().filter(|history| history.zone == zone) {
             stats.servers += 1;
             let was_contacted =
                 history.loss_run > 0 || is_recent(now, history.last_answer_at, self.retention());
             stats.contacted += u32::from(was_contacted);
-            let answers_now = is_recent(now, history.last_answer_at, self.config.loss_timeout);
-            if history.loss_run >= MIN_SILENT_RUN && !answers_now {
+            let answered_recently = is_recent(now, history.last_answer_at, self.config.loss_timeout);
+            if history.loss_run >= MIN_SILENT_RUN && !answered_recently {
                 stats.silent += 1;
                 stats.lost += history.loss_run;
                 missed_by_server.push(history.missed_answers(now));
-                losing_fronts.extend(&history.losing_fronts);
+                fronts_with_loss.extend(&history.fronts_with_loss);
             }
             stats.alive += u32::from(is_recent(now, history.last_alive_at, self.config.step_duration()));
             stats.recent_in_time += history.in_time.stats(now).count;
             stats.recent_late += history.late.stats(now).count;
             stats.recent_lost += history.lost.stats(now).count;
         }
-        losing_fronts.sort_unstable();
-        losing_fronts.dedup();
-        stats.reporting_fronts = u32::try_from(losing_fronts.len()).unwrap_or(u32::MAX);
+        fronts_with_loss.sort_unstable();
+        fronts_with_loss.dedup();
+        stats.fronts_with_loss = u32::try_from(fronts_with_loss.len()).unwrap_or(u32::MAX);
         stats.missed_answers = verdict::total_missed_answers(&missed_by_server);
         stats
     }
 
-    /// A step of a recovery has begun in a zone: earlier reports do not describe it.
+    /// Clears the recent outcomes and loss runs of a zone in which a drain or a step of a recovery has begun: earlier
+    /// reports do not describe it.
     pub fn begin_step(&mut self, zone: ZoneId) {
         for history in self.servers.values_mut().filter(|history| history.zone == zone) {
             history.in_time.clear();
@@ -219,6 +223,6 @@
     }
 }
 
-fn is_recent(now: Moment, at: Option<Moment>, span: Span) -> bool {
-    at.is_some_and(|at| now.since(at) < span)
+fn is_recent(now: Moment, at: Option<Moment>, max_age: Span) -> bool {
+    at.is_some_and(|at| now.since(at) < max_age)
 }
--- a/crates/ochrelead-zone/src/outcome_reporter.rs
+++ b/crates/ochrelead-zone/src/outcome_reporter.rs
@@ -1,7 +1,8 @@
-//! Counts what one front sees at each server between two reports.
+//! Counts the outcomes that one front observes at each server between two reports.
 //!
-//! An INVITE counts once as lost when its loss timeout passes, and once more when its answer comes, as in time or late. So a
-//! server that answers everything late has as many late INVITEs as lost ones, and a silent server has only lost ones.
+//! An INVITE that is answered within the loss timeout counts as in time. One that is still unanswered when the timeout
+//! passes counts as lost, and also as late if its answer arrives after that. So a server that answers everything late
+//! has as many late INVITEs as lost ones, and a silent server has only lost ones.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,57 +10,57 @@
 
 use crate::ServerKey;
 
-/// INVITEs that are tracked at once; any beyond are not.
+/// Limit of the INVITEs that are tracked at once; further ones are not counted.
 const MAX_PENDING: usize = 4_096;
 /// An answer that took more than this multiple of the loss timeout is stale.
 const STALE_FACTOR: u64 = 8;
-/// Highest count of one kind that a report carries for a server; a front that claims more is not believed.
-pub const MAX_REPORTED: u32 = 15;
+/// Highest count of each outcome that a report carries for a server; higher ones are reduced to it on both ends.
+pub const MAX_REPORTED_COUNT: u32 = 15;
 
 /// Outcomes of INVITEs to one server since the last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeSample {
     /// INVITEs answered within the loss timeout.
     pub in_time: u32,
-    /// INVITEs answered after it.
+    /// INVITEs answered after the loss timeout.
     pub late: u32,
-    /// INVITEs that were not answered within it, or whose connection failed.
+    /// INVITEs that were not answered within the loss timeout, or whose connection failed.
     pub lost: u32,
-    /// The server gave some sign of life.
+    /// The server showed activity: it answered, sent any other message or accepted a connection.
     pub is_alive: bool,
-    /// The server answered an INVITE sent long ago. When a partition heals such answers come through; they do not
-    /// describe its present state.
+    /// The server answered an INVITE more than `STALE_FACTOR` loss timeouts after it was sent. Such answers arrive when
+    /// a partition heals, and do not describe the present state of the server.
     pub is_stale: bool,
 }
 
 impl OutcomeSample {
-    /// Whether there is nothing to report.
+    /// Whether the sample contains nothing to report.
     pub fn is_empty(&self) -> bool {
         *self == OutcomeSample::default()
     }
 
-    /// Whether the server answered any INVITE, however late.
+    /// Whether the server answered any INVITE, in time, late or stale.
     pub fn has_answer(&self) -> bool {
         self.in_time + self.late > 0 || self.is_stale
     }
 
-    /// The sample with each count limited to [`MAX_REPORTED`].
+    /// The sample with each count limited to [`MAX_REPORTED_COUNT`].
     pub fn bounded(self) -> OutcomeSample {
         OutcomeSample {
-            in_time: self.in_time.min(MAX_REPORTED),
-            late: self.late.min(MAX_REPORTED),
-            lost: self.lost.min(MAX_REPORTED),
+            in_time: self.in_time.min(MAX_REPORTED_COUNT),
+            late: self.late.min(MAX_REPORTED_COUNT),
+            lost: self.lost.min(MAX_REPORTED_COUNT),
             ..self
         }
     }
 }
 
-/// The outcomes at one server.
+/// The outcomes at one server since the last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerSample {
     /// The server.
     pub server: ServerKey,
-    /// What was seen there.
+    /// The outcomes there.
     pub outcomes: OutcomeSample,
 }
 
@@ -81,13 +82,13 @@
 pub struct OutcomeReporter {
     loss_timeout: Span,
     pending: BTreeMap<u64, PendingInvite>,
-    /// INVITEs in the order in which they were sent; may contain some that have ended.
+    /// INVITEs in the order in which they were sent; may contain INVITEs that have ended.
     timeouts: VecDeque<QueuedTimeout>,
     samples: BTreeMap<ServerKey, OutcomeSample>,
 }
 
 impl OutcomeReporter {
-    /// A reporter that counts an INVITE as lost after `loss_timeout`.
+    /// Creates a reporter that counts an INVITE as lost after `loss_timeout`.
     pub fn new(loss_timeout: Span) -> OutcomeReporter {
         OutcomeReporter {
             loss_timeout,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// An INVITE was sent. `invite` identifies it until it ends; the number may be used again after that.
+    /// Records that an INVITE was sent. `invite` identifies it until it ends; the number may be reused after that.
     pub fn on_invite_sent(&mut self, now: Moment, server: ServerKey, invite: u64) {
         if self.pending.len() < MAX_PENDING {
             self.pending.insert(invite, PendingInvite { server, sent_at: now, is_lost: false });
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The server answered, positively or negatively.
+    /// Records that the server answered, positively or negatively.
     pub fn on_answer(&mut self, now: Moment, invite: u64) {
         let Some(pending) = self.pending.remove(&invite) else { return };
         let sample = self.samples.entry(pending.server).or_default();
@@ -120,25 +121,26 @@
         }
     }
 
-    /// The INVITE failed without an answer: no connection, or a reset.
+    /// Records that the INVITE failed without an answer: no connection, or a reset.
     pub fn on_transport_failure(&mut self, invite: u64) {
         if let Some(pending) = self.pending.remove(&invite).filter(|pending| !pending.is_lost) {
             self.samples.entry(pending.server).or_default().lost += 1;
         }
     }
 
-    /// This side cancelled the INVITE. That says nothing about the server beyond a loss that was already counted.
+    /// Stops tracking an INVITE that this front cancelled. Cancelling is no evidence about the server; a loss that was
+    /// already counted stays counted.
     pub fn on_invite_cancelled(&mut self, invite: u64) {
         self.pending.remove(&invite);
     }
 
-    /// The server sent anything at all, or accepted a connection.
+    /// Records that the server showed activity: it sent any message or accepted a connection.
     pub fn on_server_alive(&mut self, server: ServerKey) {
         self.samples.entry(server).or_default().is_alive = true;
     }
 
-    /// Counts INVITEs whose loss timeout has passed. With `was_stalled` this front has not run for a while, so that answers
-    /// may lie unread: overdue INVITEs are forgotten and not counted.
+    /// Counts the INVITEs whose loss timeout has passed as lost. With `was_stalled` they are dropped without being
+    /// counted: this front has not run for a while, and their answers may have arrived without having been read.
     pub fn process(&mut self, now: Moment, was_stalled: bool) {
         while let Some(QueuedTimeout { sent_at, invite }) = self.timeouts.front().copied() {
             let has_ended = self.pending.get(&invite).is_none_or(|pending| pending.sent_at != sent_at);
@@ -162,7 +164,7 @@
         self.samples.values().any(|sample| sample.lost > 0)
     }
 
-    /// Takes the outcomes since the last call, by server.
+    /// Removes and returns the outcomes since the last call, by server.
     pub fn take_samples(&mut self) -> Vec<ServerSample> {
         let samples = std::mem::take(&mut self.samples).into_iter();
         samples
@@ -171,7 +173,7 @@
             .collect()
     }
 
-    /// When the next INVITE counts as lost.
+    /// When the next INVITE reaches its loss timeout.
     pub fn poll_timeout(&self) -> Option<Moment> {
         self.timeouts.front().map(|timeout| timeout.sent_at + self.loss_timeout + Span::from_micros(1))
     }
--- a/crates/ochrelead-zone/src/ramp.rs
+++ b/crates/ochrelead-zone/src/ramp.rs
@@ -1,45 +1,45 @@
-//! From verdicts to shares over time: draining a zone, and ramping it up again.
+//! Turns verdicts into shares over time: drains a zone and ramps it up again.
 //!
-//! A zone is drained completely and at once: nobody is answered there, and what is sent to it is lost whatever the capacity
-//! of the other zones.
+//! A zone is drained completely and at once: no front receives answers from it, so every session sent there is lost,
+//! whatever the capacity of the other zones.
 //!
-//! A recovery begins when enough of the zone's servers give signs of life. Each step holds one share, the same at all fronts.
-//! If the INVITEs of a step were answered in time, the next share is larger by [`ZoneConfig::growth_factor`]; otherwise it is
-//! halved. So all fronts together send at most this factor times what the zone has just been shown to handle in time, less
-//! than the multiple at which a cold server fails.
+//! A recovery begins when enough servers of the zone show activity. During a step the share is constant and the same at
+//! all fronts. If enough INVITEs of a step were answered in time, the next share is larger by
+//! [`ZoneConfig::growth_factor`]; otherwise it is halved. So all fronts together send at most this factor times the
+//! load that the zone has just answered in time, which is less than the overload at which a cold server fails.
 
 use ochrelead_core::time::{Moment, Span};
 
 use crate::ZoneConfig;
 use crate::verdict::{Verdict, ZoneStats};
 
-/// The share with which a recovery begins.
+/// The share of the first step of a recovery.
 const INITIAL_SHARE: f64 = 0.125;
-/// The smallest share of a recovery: with less, nothing would show that the zone does better.
+/// The smallest share of a recovery. A smaller one would yield too few INVITEs to detect an improvement.
 const MIN_SHARE: f64 = 0.0625;
-/// Part of the servers in service that must have given a sign of life.
+/// Fraction of the servers in service that must show activity before a recovery begins.
 const MIN_ALIVE_SHARE: f64 = 0.5;
-/// INVITEs that are enough to tell whether the zone can bear a step.
+/// With at least this many INVITEs in a step, the fraction answered in time decides the next share.
 const MIN_STEP_INVITES: u32 = 8;
-/// With fewer INVITEs the recovery goes on after this many steps' time without a loss.
+/// With fewer INVITEs, the share grows after this many step durations without a loss.
 const LOW_TRAFFIC_STEPS: u64 = 3;
-/// Losses, without any answer, that end a recovery.
-const MIN_FAILED_STEP_LOSSES: u32 = 3;
-/// Part of a step's INVITEs that must be answered in time.
+/// Lost INVITEs that end a recovery if a whole step brought no answer.
+const MIN_UNANSWERED_STEP_LOSSES: u32 = 3;
+/// Fraction of a step's INVITEs that must be answered in time for the share to grow.
 const MIN_IN_TIME_SHARE: f64 = 0.8;
-/// A zone that is drained again and again stays drained longer each time, up to this many steps.
+/// Each repeated drain lasts twice as many steps as the one before, up to this limit.
 const MAX_DRAIN_STEPS: u64 = 16;
-/// Drains that are counted; more make no difference.
+/// Limit of the drain count; more drains do not change the duration.
 const MAX_DRAIN_COUNT: u32 = 16;
-/// Former drains are forgotten after this many steps in full use.
+/// The drain count is reset after this many steps in full use.
 const DRAIN_COUNT_RESET_STEPS: u64 = 64;
 
 /// Why a zone is not in full use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShareReason {
-    /// Nobody is answered there.
+    /// No front receives answers from the zone.
     Drained,
-    /// It takes a growing share after a drain.
+    /// The zone takes a growing share after a drain.
     Recovering,
 }
 
@@ -60,11 +60,11 @@
     Recovering { share: f64, step_began_at: Moment },
 }
 
-/// Drain and recovery of one zone, at its observer.
+/// State machine for the drain and recovery of one zone, run by the observer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneRamp {
     phase: Phase,
-    /// Recent drains: each makes the next one last longer.
+    /// Number of recent drains; each doubles the duration of the next one.
     drain_count: u32,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl ZoneRamp {
-    /// Continues from the share that a former observer had in force.
+    /// Continues with the share that a previous observer had announced.
     pub fn resumed(share: f64, reason: ShareReason, now: Moment) -> ZoneRamp {
         let phase = match reason {
             ShareReason::Drained => Phase::Drained { until: now },
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Advances by the latest verdict and statistics. Returns whether a step has begun, for which earlier statistics say
-    /// nothing.
+    /// Advances the state with the latest verdict and statistics. Returns whether a drain or a new step has begun; the
+    /// caller then discards the earlier statistics, which do not describe it.
     pub fn process(&mut self, now: Moment, verdict: Verdict, stats: &ZoneStats, config: &ZoneConfig) -> bool {
         let previous = self.phase;
         match self.phase {
@@ -133,28 +133,30 @@
     fn drain(&mut self, now: Moment, config: &ZoneConfig) {
         self.drain_count = (self.drain_count + 1).min(MAX_DRAIN_COUNT);
         let steps = (1_u64 << (self.drain_count - 1)).min(MAX_DRAIN_STEPS);
-        // Signs of life from before the failure may still arrive with two reports, and then count for one step.
+        // Activity from before the failure may still arrive with the next two reports, and counts for one step after
+        // that.
         let min_duration = config.step_duration() + config.report_interval() * 2;
         self.phase = Phase::Drained { until: now + min_duration.max(config.step_duration() * steps) };
     }
 }
 
-/// A whole step without any answer: the servers accept connections, or give other signs of life, and no more.
+/// Whether a whole step brought losses and no answer: the servers accept connections or show other activity, but answer
+/// no INVITE.
 fn is_step_unanswered(elapsed: Span, stats: &ZoneStats, config: &ZoneConfig) -> bool {
     let answers = stats.recent_in_time + stats.recent_late;
-    elapsed >= config.step_duration() && answers == 0 && stats.recent_lost >= MIN_FAILED_STEP_LOSSES
+    elapsed >= config.step_duration() && answers == 0 && stats.recent_lost >= MIN_UNANSWERED_STEP_LOSSES
 }
 
-/// The share of the next step; `None` while the present step goes on.
+/// Returns the share of the next step, or `None` while the current step continues.
 fn next_share(share: f64, elapsed: Span, stats: &ZoneStats, config: &ZoneConfig) -> Option<f64> {
     if elapsed < config.step_duration() {
         return None;
     }
-    let invites = stats.recent();
+    let invites = stats.recent_invites();
     if invites >= MIN_STEP_INVITES {
-        let was_answered = f64::from(stats.recent_in_time) >= f64::from(invites) * MIN_IN_TIME_SHARE;
-        return Some(if was_answered { share * config.growth_factor } else { share / 2.0 });
+        let is_answered_in_time = f64::from(stats.recent_in_time) >= f64::from(invites) * MIN_IN_TIME_SHARE;
+        return Some(if is_answered_in_time { share * config.growth_factor } else { share / 2.0 });
     }
-    let has_waited = elapsed >= config.step_duration() * LOW_TRAFFIC_STEPS;
-    (has_waited && stats.recent_lost == 0).then_some(share * config.growth_factor)
+    let is_low_traffic_wait_over = elapsed >= config.step_duration() * LOW_TRAFFIC_STEPS;
+    (is_low_traffic_wait_over && stats.recent_lost == 0).then_some(share * config.growth_factor)
 }
--- a/crates/ochrelead-zone/tests/engine/failover.rs
+++ b/crates/ochrelead-zone/tests/engine/failover.rs
@@ -5,7 +5,7 @@
 use crate::fleet::{Fleet, Server, ZONES};
 
 #[test]
-fn a_failed_zone_is_drained_by_all_and_recovers_by_steps() {
+fn failed_zone_is_drained_by_all_fronts_and_recovers_in_steps() {
     let mut fleet = Fleet::new(24);
     fleet.reaches_server = |ms, _, server| server.zone != 1 || !(4_000..9_000).contains(&ms);
     fleet.advance(4_000);
@@ -19,18 +19,18 @@
     for _ in 0..100 {
         fleet.advance(100);
         observed_shares.extend(fleet.shares(0, 1));
-        // A message takes a moment to reach all; after that the shares are the same.
+        // After the delivery of the last message the shares are the same at all fronts.
         let agree = |fleet: &Fleet| fleet.shares(2, 1).windows(2).all(|pair| pair[0] == pair[1]);
         if !agree(&fleet) {
             fleet.advance(40);
         }
-        assert!(agree(&fleet), "apart: {:?}", fleet.shares(2, 1));
+        assert!(agree(&fleet), "shares differ between fronts: {:?}", fleet.shares(2, 1));
     }
     assert!(observed_shares.contains(&0.125) && fleet.all_have_share(1, 1.0), "{:?}", fleet.shares(0, 1));
 }
 
 #[test]
-fn a_partition_between_two_zones_affects_only_these() {
+fn partition_between_two_zones_affects_only_the_partitioned_fronts() {
     let mut fleet = Fleet::new(24);
     fleet.reaches_server = |ms, front, server| ms < 3_000 || front % ZONES != 0 || server.zone != 1;
     fleet.advance(6_500);
@@ -42,8 +42,8 @@
 #[test_case(|ms, front, _| ms < 3_000 || front != 5; "one front is cut off from all servers")]
 #[test_case(|ms, _, server| ms < 3_000 || server.index > 1; "two servers of each zone are silent")]
 #[test_case(|ms, _, server| ms < 3_000 || server.zone != 1 || server.index > 0; "one server of a zone is silent")]
-#[test_case(|ms, _, _| ms < 3_000; "nobody reaches anything")]
-fn failures_that_are_not_of_one_zone_drain_none(reaches_server: fn(u64, u32, Server) -> bool) {
+#[test_case(|ms, _, _| ms < 3_000; "no front reaches any server")]
+fn failures_other_than_of_one_whole_zone_drain_none(reaches_server: fn(u64, u32, Server) -> bool) {
     let mut fleet = Fleet::new(24);
     fleet.reaches_server = reaches_server;
     for _ in 0..200 {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn fronts_that_were_halted_drain_no_zone() {
+fn fronts_resumed_after_a_halt_drain_no_zone() {
     let mut fleet = Fleet::new(24);
     fleet.advance(2_000);
     let observer = fleet.observers(0)[0];
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_failed_zone_is_drained_by_all_although_messages_are_lost() {
+fn failed_zone_is_drained_by_all_fronts_despite_message_loss() {
     let mut fleet = Fleet::new(24);
     fleet.message_loss = 0.3;
     fleet.reaches_server = |ms, _, server| server.zone != 1 || !(4_000..12_000).contains(&ms);
@@ -83,12 +83,12 @@
 }
 
 #[test]
-fn without_messages_each_front_acts_alone() {
+fn without_messages_only_the_failed_zone_may_be_drained() {
     let mut fleet = Fleet::new(24);
     fleet.reaches_front = |_, _, _| false;
     fleet.reaches_server = |ms, _, server| server.zone != 1 || ms < 2_000;
     fleet.advance(2_000);
-    // Each front is its own observer; with a few INVITEs of its own it may see that zone fail, and no other.
+    // Each front is its own observer. From its few INVITEs it may find the failed zone unreachable, but no other zone.
     fleet.advance(8_000);
     assert!(fleet.all_have_share(0, 1.0) && fleet.all_have_share(2, 1.0));
 }
--- a/crates/ochrelead-zone/tests/engine/fleet.rs
+++ b/crates/ochrelead-zone/tests/engine/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of engines with a simulated network and servers that answer after a fixed time.
+//! Test harness: a fleet of engines with a simulated network, and servers that answer after a fixed delay.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
     Moment::from_micros(1_000_000_000 + ms * 1_000)
 }
 
-/// A server, by its zone and its index in that zone.
+/// A server, identified by its zone and its index in that zone.
 #[derive(Clone, Copy)]
 pub(crate) struct Server {
     pub(crate) zone: u32,
@@ -55,15 +55,15 @@
 pub(crate) struct Fleet {
     pub(crate) engines: BTreeMap<u32, Engine>,
     pub(crate) elapsed_ms: u64,
-    /// Whether a front reaches a server at a time.
+    /// Whether a front reaches a server, by elapsed milliseconds, front and server.
     pub(crate) reaches_server: fn(u64, u32, Server) -> bool,
-    /// Whether a front's messages reach another at a time.
+    /// Whether messages of a front reach another front, by elapsed milliseconds, sender and recipient.
     pub(crate) reaches_front: fn(u64, u32, u32) -> bool,
     /// Probability that a message between fronts is lost.
     pub(crate) message_loss: f64,
-    /// Fronts that do not run.
+    /// Fronts that do not run; messages and answers for them are held back.
     pub(crate) halted: Vec<u32>,
-    size: u32,
+    front_count: u32,
     rng: Pcg64Mcg,
     messages: Vec<InFlightMessage>,
     answers: Vec<PendingAnswer>,
@@ -74,7 +74,7 @@
 const INCARNATION: u32 = 1;
 
 impl Fleet {
-    pub(crate) fn new(size: u32) -> Fleet {
+    pub(crate) fn new(front_count: u32) -> Fleet {
         let mut fleet = Fleet {
             engines: BTreeMap::new(),
             elapsed_ms: 0,
@@ -82,13 +82,13 @@
             reaches_front: |_, _, _| true,
             message_loss: 0.0,
             halted: Vec::new(),
-            size,
+            front_count,
             rng: Pcg64Mcg::seed_from_u64(5),
             messages: Vec::new(),
             answers: Vec::new(),
             invites: 0,
         };
-        (0..size).for_each(|front| fleet.start(front));
+        (0..front_count).for_each(|front| fleet.start(front));
         fleet
     }
 
@@ -107,7 +107,7 @@
         self.engines.insert(front, engine);
     }
 
-    /// Lets time pass, a tick at a time.
+    /// Advances the clock by `ms`, one tick at a time.
     pub(crate) fn advance(&mut self, ms: u64) {
         let end_ms = self.elapsed_ms + ms;
         while self.elapsed_ms < end_ms {
@@ -151,7 +151,7 @@
         if self.rng.random_bool(INVITE_PROBABILITY) {
             self.send_invite(front, engine);
         }
-        // Servers send something of their own once a second.
+        // Each server shows activity once a second.
         if self.elapsed_ms % 1_000 < TICK_MS {
             for server in Server::all() {
                 if (self.reaches_server)(self.elapsed_ms, front, server) {
@@ -184,7 +184,7 @@
         assert!(bytes.len() <= 232);
         let recipients: Vec<u32> = match recipient {
             Recipient::Front(to) => vec![to],
-            Recipient::All => (0..self.size).filter(|other| *other != front).collect(),
+            Recipient::All => (0..self.front_count).filter(|other| *other != front).collect(),
         };
         for to in recipients {
             if (self.reaches_front)(self.elapsed_ms, front, to) && !self.rng.random_bool(self.message_loss) {
@@ -198,6 +198,7 @@
         }
     }
 
+    /// The observers among the fronts of `zone`.
     pub(crate) fn observers(&self, zone: u32) -> Vec<u32> {
         let observers = self
             .engines
@@ -206,15 +207,15 @@
         observers.map(|(front, _)| *front).collect()
     }
 
-    /// The shares of a zone in force at the fronts of another.
+    /// The share of `zone` at each front of `front_zone`.
     pub(crate) fn shares(&self, front_zone: u32, zone: u32) -> Vec<f64> {
         let engines = self.engines.values().filter(|engine| engine.local_zone() == ZoneId(front_zone));
         engines.map(|engine| engine.zone_share(self.now(), ZoneId(zone))).collect()
     }
 
-    /// Whether a zone has this share at all fronts.
+    /// Whether `zone` has this share at all fronts.
     pub(crate) fn all_have_share(&self, zone: u32, share: f64) -> bool {
-        (0..ZONES).all(|front_zone| self.shares(front_zone, zone).iter().all(|own| *own == share))
+        (0..ZONES).all(|front_zone| self.shares(front_zone, zone).iter().all(|actual| *actual == share))
     }
 
     /// Asserts that all zones are in full use at all fronts.
--- a/crates/ochrelead-zone/tests/engine/main.rs
+++ b/crates/ochrelead-zone/tests/engine/main.rs
@@ -1,5 +1,5 @@
-//! Fronts of several zones on one clock, each with its engine: who is the observer, which verdicts all follow, and when
-//! they expire.
+//! Simulated fleets of engines in several zones: election of the observer, which verdicts the fronts follow, and when
+//! verdicts expire.
 
 mod failover;
 mod fleet;
--- a/crates/ochrelead-zone/tests/engine/observers.rs
+++ b/crates/ochrelead-zone/tests/engine/observers.rs
@@ -1,9 +1,9 @@
-//! MemberId is the observer of a zone.
+//! Which front is the observer of a zone.
 
 use crate::fleet::{Fleet, ZONES};
 
 #[test]
-fn each_zone_has_one_observer_soon_and_another_after_it_is_killed() {
+fn each_zone_elects_one_observer_and_replaces_it_after_a_crash() {
     let mut fleet = Fleet::new(24);
     fleet.advance(1_500);
     for zone in 0..ZONES {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_observer_that_leaves_is_replaced_at_once() {
+fn observer_that_leaves_is_replaced_before_its_verdicts_expire() {
     let mut fleet = Fleet::new(24);
     fleet.advance(1_500);
     let first = fleet.observers(0)[0];
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn of_two_observers_after_a_partition_the_lower_front_stays() {
+fn observer_with_the_lower_front_number_remains_after_a_partition() {
     let mut fleet = Fleet::new(24);
     fleet.reaches_front = |_, from, to| (from < 12) == (to < 12);
     fleet.advance(3_000);
--- a/crates/ochrelead-zone/tests/message.rs
+++ b/crates/ochrelead-zone/tests/message.rs
@@ -1,4 +1,4 @@
-//! The wire format: messages are decoded as they were encoded, within their bounds, and foreign bytes do no harm.
+//! The wire format: messages round-trip within the size limit, and malformed bytes yield no invalid message.
 
 use ochrelead_core::time::Span;
 use ochrelead_zone::codec::{MAX_MESSAGE_BYTES, decode, encode};
@@ -23,7 +23,7 @@
 
 proptest! {
     #[test]
-    fn verdicts_are_decoded_as_encoded(
+    fn verdicts_round_trip(
         zone in 0..16_u32, sequence: u32, ttl_ms in 0..10_000_u64,
         shares in prop::collection::vec((0..16_u32, 0..=10_000_u32, share_reason()), 0..16),
     ) {
@@ -39,7 +39,7 @@
     }
 
     #[test]
-    fn reports_are_decoded_as_encoded_in_as_many_messages_as_it_takes(
+    fn reports_round_trip_split_into_messages_within_the_size_limit(
         reporter_zone in 0..16_u32,
         samples in prop::collection::btree_map(any::<u16>(), outcome_sample(), 0..200),
     ) {
@@ -48,7 +48,7 @@
         let mut decoded = Vec::new();
         for bytes in encode(&Message::Report { zone: ZoneId(reporter_zone), samples: samples.clone() }) {
             prop_assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{}", bytes.len());
-            let Some(Message::Report { zone, samples }) = decode(&bytes) else { panic!("no report") };
+            let Some(Message::Report { zone, samples }) = decode(&bytes) else { panic!("not a report") };
             prop_assert_eq!(zone, ZoneId(reporter_zone));
             decoded.extend(samples);
         }
@@ -56,22 +56,24 @@
     }
 
     #[test]
-    fn arbitrary_bytes_decode_to_valid_shares_or_nothing(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
+    fn arbitrary_bytes_decode_to_shares_in_range_or_are_rejected(
+        bytes in prop::collection::vec(any::<u8>(), 0..256),
+    ) {
         if let Some(Message::Verdicts { shares, .. }) = decode(&bytes) {
             prop_assert!(shares.iter().all(|share| (0.0..=1.0).contains(&share.share)));
         }
     }
 }
 
-/// An encoded share: zone plus one, share, reason.
+/// An encoded share: zone index plus one, share in 1/10,000, reason.
 type EncodedShare = (u32, u32, u32);
 
-#[test_case(0, &[], false; "from no zone")]
-#[test_case(17, &[], false; "from a zone beyond the maximum")]
-#[test_case(1, &[(17, 500, 1)], false; "of a zone beyond the maximum")]
-#[test_case(1, &[(1, 500, 9)], true; "a reason of a newer version")]
-#[test_case(1, &[(1, 90_000, 1)], true; "a share out of range")]
-#[test_case(1, &[(1, 0, 1); 17], false; "more zones than there can be")]
+#[test_case(0, &[], false; "verdicts without a zone")]
+#[test_case(17, &[], false; "verdicts for a zone beyond the maximum")]
+#[test_case(1, &[(17, 500, 1)], false; "share of a zone beyond the maximum")]
+#[test_case(1, &[(1, 500, 9)], true; "reason of a newer version")]
+#[test_case(1, &[(1, 90_000, 1)], true; "share above one")]
+#[test_case(1, &[(1, 0, 1); 17], false; "more shares than the maximum number of zones")]
 fn values_out_of_range_are_rejected_or_clamped(zone: u32, shares: &[EncodedShare], is_decoded: bool) {
     let shares = shares.iter().map(|&(zone, share, reason)| schema::Share { zone, share, reason }).collect();
     let body = Body::Verdicts(schema::Verdicts { zone, sequence: 1, ttl_ms: 1_000, shares });
--- a/crates/ochrelead-zone/tests/outcome_reporter.rs
+++ b/crates/ochrelead-zone/tests/outcome_reporter.rs
@@ -1,4 +1,4 @@
-//! Which outcomes one front counts.
+//! How the events of INVITEs at one front are counted as outcomes.
 
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_zone::ServerKey;
@@ -22,25 +22,25 @@
 }
 use Event::*;
 
-const RUN: Event = Process { was_stalled: false };
-const RESUME: Event = Process { was_stalled: true };
+const PROCESS: Event = Process { was_stalled: false };
+const PROCESS_AFTER_STALL: Event = Process { was_stalled: true };
 
 fn sample(in_time: u32, late: u32, lost: u32, is_alive: bool) -> OutcomeSample {
     OutcomeSample { in_time, late, lost, is_alive, is_stale: false }
 }
 
-#[test_case(&[(0, Send(1)), (50, Answer(1)), (900, RUN)], sample(1, 0, 0, true); "in time")]
-#[test_case(&[(0, Send(1)), (500, RUN), (900, Answer(1))], sample(0, 1, 1, true); "late: lost at first")]
-#[test_case(&[(0, Send(1)), (500, RUN), (900, RUN)], sample(0, 0, 1, false); "lost, and counted once")]
-#[test_case(&[(0, Send(1)), (500, RUN), (600, Fail(1))], sample(0, 0, 1, false); "lost, then its connection failed")]
-#[test_case(&[(0, Send(1)), (10, Fail(1)), (500, RUN)], sample(0, 0, 1, false); "its connection failed")]
-#[test_case(&[(0, Send(1)), (100, Cancel(1)), (500, RUN)], sample(0, 0, 0, false); "cancelled before its loss timeout")]
-#[test_case(&[(0, Send(1)), (10, Answer(1)), (20, Send(1)), (500, RUN)], sample(1, 0, 1, true); "an identifier that is used again")]
-#[test_case(&[(0, Send(1)), (2000, RESUME), (2001, Answer(1))], sample(0, 0, 0, false); "this front was stalled")]
+#[test_case(&[(0, Send(1)), (50, Answer(1)), (900, PROCESS)], sample(1, 0, 0, true); "answered in time")]
+#[test_case(&[(0, Send(1)), (500, PROCESS), (900, Answer(1))], sample(0, 1, 1, true); "answered late after counting as lost")]
+#[test_case(&[(0, Send(1)), (500, PROCESS), (900, PROCESS)], sample(0, 0, 1, false); "unanswered, counted as lost once")]
+#[test_case(&[(0, Send(1)), (500, PROCESS), (600, Fail(1))], sample(0, 0, 1, false); "lost, then connection failed, counted once")]
+#[test_case(&[(0, Send(1)), (10, Fail(1)), (500, PROCESS)], sample(0, 0, 1, false); "connection failed before the loss timeout")]
+#[test_case(&[(0, Send(1)), (100, Cancel(1)), (500, PROCESS)], sample(0, 0, 0, false); "cancelled before the loss timeout")]
+#[test_case(&[(0, Send(1)), (10, Answer(1)), (20, Send(1)), (500, PROCESS)], sample(1, 0, 1, true); "reused identifier")]
+#[test_case(&[(0, Send(1)), (2000, PROCESS_AFTER_STALL), (2001, Answer(1))], sample(0, 0, 0, false); "overdue after this front was stalled")]
 #[test_case(&[(0, Answer(7)), (0, Fail(8))], sample(0, 0, 0, false); "unknown INVITEs")]
-#[test_case(&[(0, Send(1)), (500, RUN), (6000, Answer(1))], OutcomeSample { is_stale: true, ..sample(0, 0, 1, true) }; "a stale answer")]
-#[test_case(&[(0, Alive)], sample(0, 0, 0, true); "a sign of life")]
-fn outcomes_are_counted_once_each(events: &[(u64, Event)], expected: OutcomeSample) {
+#[test_case(&[(0, Send(1)), (500, PROCESS), (6000, Answer(1))], OutcomeSample { is_stale: true, ..sample(0, 0, 1, true) }; "stale answer")]
+#[test_case(&[(0, Alive)], sample(0, 0, 0, true); "activity without an answer")]
+fn events_are_counted_as_outcomes_once(events: &[(u64, Event)], expected: OutcomeSample) {
     let server = ServerKey::from_name("s-1");
     let mut reporter = OutcomeReporter::new(LOSS_TIMEOUT);
     for (ms, event) in events {
--- a/crates/ochrelead-zone/tests/ramp.rs
+++ b/crates/ochrelead-zone/tests/ramp.rs
@@ -1,4 +1,4 @@
-//! Draining a zone and ramping it up again, step by step.
+//! Drain and stepwise recovery of one zone.
 
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_zone::ZoneConfig;
@@ -11,7 +11,7 @@
     contacted: 6,
     silent: 6,
     lost: 40,
-    reporting_fronts: 9,
+    fronts_with_loss: 9,
     missed_answers: 60.0,
     alive: 0,
     recent_in_time: 0,
@@ -32,14 +32,14 @@
         RampTest { ramp: ZoneRamp::default(), elapsed_ms: 0 }
     }
 
-    /// A ramp of a zone that has just been drained.
+    /// Creates a test with a zone that has just been drained.
     fn drained() -> RampTest {
         let mut test = RampTest::new();
         test.advance(50, Verdict::Unreachable, &UNREACHABLE);
         test
     }
 
-    /// Advances in steps of 50 ms with the same verdict and statistics, and returns the share then.
+    /// Advances by `ms` in increments of 50 ms with constant verdict and statistics, and returns the resulting share.
     fn advance(&mut self, ms: u64, verdict: Verdict, stats: &ZoneStats) -> f64 {
         let end_ms = self.elapsed_ms + ms;
         while self.elapsed_ms < end_ms {
@@ -54,7 +54,7 @@
         self.ramp.share().map_or(1.0, |(share, _)| share)
     }
 
-    /// Waits with healthy statistics for the recovery to begin; returns how long that took.
+    /// Advances with healthy statistics until the recovery begins, and returns the elapsed milliseconds.
     fn wait_for_recovery(&mut self) -> u64 {
         let start_ms = self.elapsed_ms;
         while self.share() == 0.0 {
@@ -65,19 +65,19 @@
 }
 
 #[test]
-fn a_zone_is_drained_at_once_and_stays_drained_while_it_is_silent() {
+fn unreachable_zone_is_drained_at_once_and_stays_drained_while_silent() {
     let mut test = RampTest::new();
     assert_eq!(test.advance(50, Verdict::Unreachable, &UNREACHABLE), 0.0);
     assert_eq!(test.advance(60_000, Verdict::Unchanged, &ZoneStats { lost: 0, ..UNREACHABLE }), 0.0);
 }
 
 #[test]
-fn a_zone_recovers_by_steps_of_at_most_the_growth_factor() {
+fn zone_recovers_in_steps_of_at_most_the_growth_factor() {
     let mut test = RampTest::drained();
     assert_eq!(
         test.advance(1_200, Verdict::Unchanged, &HEALTHY),
         0.0,
-        "signs of life from before the failure do not count"
+        "activity reported from before the failure does not count"
     );
     let mut previous = test.advance(100, Verdict::Unchanged, &HEALTHY);
     assert!(previous > 0.0 && previous <= 0.125);
@@ -91,28 +91,31 @@
 }
 
 #[test]
-fn a_step_that_overloads_the_zone_is_taken_back() {
+fn share_is_halved_after_a_step_that_overloads_the_zone() {
     let mut test = RampTest::drained();
-    let raised = test.advance(2_800, Verdict::Unchanged, &HEALTHY);
-    let lowered = test.advance(750, Verdict::Unchanged, &OVERLOADED);
-    assert!(lowered <= raised / 2.0 && lowered > 0.0, "{lowered} after {raised}");
-    // The share never falls to zero: otherwise nothing would show that the zone does better.
+    let raised_share = test.advance(2_800, Verdict::Unchanged, &HEALTHY);
+    let lowered_share = test.advance(750, Verdict::Unchanged, &OVERLOADED);
+    assert!(
+        lowered_share <= raised_share / 2.0 && lowered_share > 0.0,
+        "{lowered_share} after {raised_share}"
+    );
+    // The share stays above zero; with no INVITEs an improvement of the zone could not be detected.
     assert!(test.advance(20_000, Verdict::Unchanged, &OVERLOADED) > 0.0);
 }
 
 #[test]
-fn with_little_traffic_recovery_is_slower_and_stops_on_a_loss() {
-    let little_traffic = ZoneStats { recent_in_time: 2, ..HEALTHY };
+fn recovery_with_low_traffic_is_slower_and_pauses_on_a_loss() {
+    let low_traffic = ZoneStats { recent_in_time: 2, ..HEALTHY };
     let mut test = RampTest::drained();
-    assert!(test.advance(1_250 + 9 * 2_250, Verdict::Unchanged, &little_traffic) >= 1.0);
+    assert!(test.advance(1_250 + 9 * 2_250, Verdict::Unchanged, &low_traffic) >= 1.0);
     let mut test = RampTest::drained();
-    let first = test.advance(1_400, Verdict::Unchanged, &little_traffic);
-    let with_loss = ZoneStats { recent_lost: 1, ..little_traffic };
-    assert_eq!(test.advance(20_000, Verdict::Unchanged, &with_loss), first);
+    let first_share = test.advance(1_400, Verdict::Unchanged, &low_traffic);
+    let with_loss = ZoneStats { recent_lost: 1, ..low_traffic };
+    assert_eq!(test.advance(20_000, Verdict::Unchanged, &with_loss), first_share);
 }
 
 #[test]
-fn a_flapping_zone_stays_drained_longer_each_time_up_to_a_limit() {
+fn repeated_drains_last_longer_up_to_a_limit() {
     let mut test = RampTest::new();
     let mut drain_ms = Vec::new();
     for _ in 0..8 {
@@ -125,13 +128,13 @@
     // After two minutes in use, the next drain is as short as the first.
     test.advance(120_000, Verdict::Unchanged, &HEALTHY);
     test.advance(50, Verdict::Unreachable, &UNREACHABLE);
-    let again = test.wait_for_recovery();
-    assert!(again <= drain_ms[0], "{again}");
+    let drain_after_reset_ms = test.wait_for_recovery();
+    assert!(drain_after_reset_ms <= drain_ms[0], "{drain_after_reset_ms}");
 }
 
-/// The zone accepts connections and answers nothing: it is drained before there is enough evidence for a verdict.
+/// The zone accepts connections but answers no INVITE. It is drained before there is enough evidence for a verdict.
 #[test]
-fn a_recovery_without_answers_ends() {
+fn recovery_without_answers_ends_in_a_drain() {
     let mut test = RampTest::drained();
     assert!(test.advance(1_400, Verdict::Unchanged, &HEALTHY) > 0.0);
     let unanswered = ZoneStats { recent_in_time: 0, recent_lost: 3, ..HEALTHY };
--- a/crates/ochrelead-zone/tests/stored_bytes.rs
+++ b/crates/ochrelead-zone/tests/stored_bytes.rs
@@ -1,5 +1,5 @@
-//! One message of each kind and the keys of servers, as an earlier program encoded them: they are decoded, and encoded again
-//! byte for byte.
+//! Compatibility with earlier versions: stored messages of each kind are decoded and re-encoded byte for byte, and the
+//! keys of server names are unchanged.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 use ochrelead_zone::ramp::ShareReason;
 use ochrelead_zone::{ServerKey, ZoneId};
 
-fn stored(name: &str) -> String {
+fn read_fixture(name: &str) -> String {
     let path: PathBuf = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
     fs::read_to_string(path).unwrap()
 }
@@ -43,10 +43,10 @@
 }
 
 #[test]
-fn messages_of_an_earlier_program_are_decoded_and_encoded_alike() {
-    let written: String = messages().iter().flat_map(encode).map(|bytes| hex(&bytes) + "\n").collect();
-    let stored = stored("messages.hex");
-    assert_eq!(written, stored);
+fn messages_of_an_earlier_version_decode_and_encode_unchanged() {
+    let encoded: String = messages().iter().flat_map(encode).map(|bytes| hex(&bytes) + "\n").collect();
+    let stored = read_fixture("messages.hex");
+    assert_eq!(encoded, stored);
     for (line, message) in stored.lines().zip(messages()) {
         let byte = |index: usize| u8::from_str_radix(&line[index..index + 2], 16).unwrap();
         let bytes: Vec<u8> = (0..line.len()).step_by(2).map(byte).collect();
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn server_keys_are_those_of_an_earlier_program() {
+fn server_keys_equal_those_of_an_earlier_version() {
     let names = ["", "s", "s-0", "s-1", "norte-17", "a-much-longer-name-of-a-signalling-server.example"];
-    let written: String =
+    let encoded: String =
         names.iter().map(|name| format!("{name} {}\n", ServerKey::from_name(name).0)).collect();
-    assert_eq!(written, stored("server-keys.txt"));
+    assert_eq!(encoded, read_fixture("server-keys.txt"));
 }
