--- a/crates/ochrelead-discovery/src/adoption.rs
+++ b/crates/ochrelead-discovery/src/adoption.rs
@@ -1,50 +1,51 @@
-//! Whether a candidate replaces the fleet in force.
+//! Decides whether a candidate fleet replaces the fleet in force.
 
 use ochrelead_config::server_endpoint::ServerEndpoint;
 use thiserror::Error;
 
 use crate::fleet::Fleet;
 
-/// A fleet that takes away more than this share of the capacity at once is refused, unless that is confirmed.
-pub const MAX_LEAVING_SHARE: f64 = 0.5;
+/// A candidate that withdraws more than this share of the ready capacity at once is refused, unless all servers that it
+/// removes or drains are confirmed.
+pub const MAX_WITHDRAWN_SHARE: f64 = 0.5;
 
-/// What a new fleet changes for one server.
+/// A change of one server between two fleets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerChange {
     /// The name of the server.
     pub server: String,
-    /// What changes.
+    /// The kind of change.
     pub kind: ChangeKind,
 }
 
-/// How a server changes.
+/// The kinds of change of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeKind {
-    /// It takes no new sessions from now on.
+    /// The server is now draining: it takes no new sessions.
     Drained,
-    /// It is not listed any more.
+    /// The server is no longer listed.
     Removed,
-    /// It takes new sessions again.
+    /// The server is no longer draining: it takes new sessions again.
     Undrained,
-    /// It has another weight.
+    /// The weight of the server differs.
     Reweighted {
-        /// The weight in force.
+        /// The previous weight.
         before: f64,
-        /// The weight from now on.
+        /// The new weight.
         after: f64,
     },
-    /// It has another address.
+    /// The address of the server differs.
     Moved,
-    /// It started later than was known.
+    /// The listed start of the server is later than the known one.
     Restarted,
-    /// Anything else of it differs.
+    /// Another field of the server differs.
     Altered,
-    /// It is listed for the first time.
+    /// The server is newly listed.
     Added,
 }
 
 impl ChangeKind {
-    /// Its name in logs and counters.
+    /// The name of this kind in logs and counters.
     pub fn name(&self) -> &'static str {
         match self {
             ChangeKind::Drained => "drained",
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Its place among the changes of one adoption: what takes servers away comes first, what adds them last.
-    fn rank(&self) -> u8 {
+    /// The sort key among the changes of one adoption: drained and removed servers come first, added ones last.
+    fn sort_rank(&self) -> u8 {
         match self {
             ChangeKind::Drained => 0,
             ChangeKind::Removed => 1,
@@ -72,55 +73,58 @@
     }
 }
 
-/// What becomes of a candidate.
+/// The decision on a candidate.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is what is in force.
+    /// The candidate equals the fleet in force.
     Unchanged,
-    /// Adopted, with what it changes; what takes servers away comes first, what adds them last.
+    /// The candidate is adopted, with these changes in the order of [`changes`].
     Adopted(Vec<ServerChange>),
-    /// Refused, and why.
+    /// The candidate is refused for this reason.
     Refused(Refusal),
 }
 
-/// Why a candidate that is valid in itself does not follow on the fleet in force.
+/// Why a valid candidate may not replace the fleet in force.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum Refusal {
-    /// It takes away more than [`MAX_LEAVING_SHARE`] of the capacity without a confirmation.
+    /// The candidate removes or drains servers with more than [`MAX_WITHDRAWN_SHARE`] of the ready capacity, and not
+    /// all of them are confirmed.
     #[error(
-        "held: {:.0} in 100 of the capacity would leave at once; where that is meant, confirm {}",
+        "held: {:.0}% of the capacity would be removed or drained at once; to allow this, add `confirm` for {}",
         .share * 100.0,
         .unconfirmed.join(", ")
     )]
-    TooMuchLeaving {
-        /// The leaving servers that are not confirmed.
+    TooMuchCapacityWithdrawn {
+        /// The removed or drained servers that are not confirmed.
         unconfirmed: Vec<String>,
-        /// The share of the capacity that would leave.
+        /// The share of the capacity that would be withdrawn.
         share: f64,
     },
-    /// A file's generation has gone down, and it does not say that it returns from the one in force.
+    /// The generation of a file is lower than the one in force, and `returns_from` does not name the one in force.
     #[error(
-        "{file}: generation {generation} is older than {in_force}, which is in force; to go back on purpose say \
+        "{file}: generation {generation} is older than generation {in_force} in force; to return to it on purpose, add \
          `returns_from: {in_force}`"
     )]
     OlderGeneration {
         /// The name of the file.
         file: String,
-        /// Its generation.
+        /// The generation of the candidate file.
         generation: u64,
-        /// Its generation in force.
+        /// The generation in force of this file.
         in_force: u64,
     },
-    /// The contents differ under the same generations.
-    #[error("{file}: changed under generation {generation}; a change needs a new one")]
+    /// The servers differ although no file has a new generation.
+    #[error("{file}: servers changed but generation is still {generation}; a change needs a new generation")]
     SameGeneration {
         /// The name of the first file.
         file: String,
-        /// Its generation.
+        /// The generation of this file.
         generation: u64,
     },
-    /// A file is missing: its servers stay in force.
-    #[error("{file}: gone; its servers stay in force until it is there again without them")]
+    /// A file of the fleet in force is missing. Its servers stay in force.
+    #[error(
+        "{file}: file is missing; its servers stay in force until the file is back and no longer lists them"
+    )]
     FileMissing {
         /// The name of the file.
         file: String,
@@ -128,10 +132,10 @@
 }
 
 impl Refusal {
-    /// Its name in counters.
+    /// The name of this reason in counters.
     pub fn name(&self) -> &'static str {
         match self {
-            Refusal::TooMuchLeaving { .. } => "held",
+            Refusal::TooMuchCapacityWithdrawn { .. } => "held",
             Refusal::OlderGeneration { .. } => "older",
             Refusal::SameGeneration { .. } => "same_generation",
             Refusal::FileMissing { .. } => "file_gone",
@@ -150,17 +154,22 @@
         if changes.is_empty() {
             return Verdict::Unchanged;
         }
-        let (file, version) = candidate.files.iter().next().expect("a fleet in force has a file");
+        let (file, version) = candidate
+            .files
+            .iter()
+            .next()
+            .expect("a candidate without a new generation has the files of the fleet in force");
         let refusal = Refusal::SameGeneration { file: file.clone(), generation: version.generation };
         return Verdict::Refused(refusal);
     }
-    match check_leaving(in_force, candidate) {
+    match check_withdrawn_capacity(in_force, candidate) {
         Ok(()) => Verdict::Adopted(changes),
         Err(refusal) => Verdict::Refused(refusal),
     }
 }
 
-/// Whether any file has another generation than the one in force, or is new.
+/// Returns whether any file is new or has another generation than the one in force. Fails if a file is missing or
+/// returns to an older generation without declaring it.
 fn check_generations(in_force: &Fleet, candidate: &Fleet) -> Result<bool, Refusal> {
     let mut is_newer = candidate.files.len() > in_force.files.len();
     for (file, version_in_force) in &in_force.files {
@@ -177,48 +186,48 @@
     Ok(is_newer)
 }
 
-/// Whether not too much leaves at once. The capacity is counted in lines where all servers' lines are known, otherwise
-/// in servers. An empty fleet has nothing to lose.
-fn check_leaving(in_force: &Fleet, candidate: &Fleet) -> Result<(), Refusal> {
+/// Checks the share of the ready capacity that the candidate removes or drains. The capacity is counted in lines if the
+/// lines of all servers are known, otherwise in servers. An empty fleet in force never refuses a candidate.
+fn check_withdrawn_capacity(in_force: &Fleet, candidate: &Fleet) -> Result<(), Refusal> {
     let lines_known = in_force.servers.iter().all(|server| server.lines > 0);
     let capacity = |server: &ServerEndpoint| if lines_known { f64::from(server.lines) } else { 1.0 };
     let is_ready = |server: &&ServerEndpoint| !server.draining;
-    let stays = |server: &ServerEndpoint| {
+    let stays_ready = |server: &ServerEndpoint| {
         candidate.servers.iter().any(|other| other.name == server.name && !other.draining)
     };
     let total: f64 = in_force.servers.iter().filter(is_ready).map(capacity).sum();
-    let leaving: Vec<&ServerEndpoint> =
-        in_force.servers.iter().filter(is_ready).filter(|server| !stays(server)).collect();
-    let share = leaving.iter().map(|server| capacity(server)).sum::<f64>() / total.max(f64::MIN_POSITIVE);
-    let unconfirmed: Vec<String> = leaving
+    let withdrawn: Vec<&ServerEndpoint> =
+        in_force.servers.iter().filter(is_ready).filter(|server| !stays_ready(server)).collect();
+    let share = withdrawn.iter().map(|server| capacity(server)).sum::<f64>() / total.max(f64::MIN_POSITIVE);
+    let unconfirmed: Vec<String> = withdrawn
         .iter()
         .filter(|server| !candidate.confirmed.contains(&server.name))
         .map(|server| server.name.clone())
         .collect();
-    if share > MAX_LEAVING_SHARE && !unconfirmed.is_empty() {
-        return Err(Refusal::TooMuchLeaving { unconfirmed, share });
+    if share > MAX_WITHDRAWN_SHARE && !unconfirmed.is_empty() {
+        return Err(Refusal::TooMuchCapacityWithdrawn { unconfirmed, share });
     }
     Ok(())
 }
 
-/// What changes for each server; what takes servers away comes first, what adds them last.
+/// Returns the changes from one list of servers to another: drained and removed servers first, added ones last.
 pub fn changes(before: &[ServerEndpoint], after: &[ServerEndpoint]) -> Vec<ServerChange> {
     let mut changes = Vec::new();
     for old in before {
         let kinds = match after.iter().find(|new| new.name == old.name) {
-            Some(new) => changes_of_listed(old, new),
+            Some(new) => changes_of_server(old, new),
             None => vec![ChangeKind::Removed],
         };
         changes.extend(kinds.into_iter().map(|kind| ServerChange { server: old.name.clone(), kind }));
     }
     let added = after.iter().filter(|new| !before.iter().any(|old| old.name == new.name));
     changes.extend(added.map(|new| ServerChange { server: new.name.clone(), kind: ChangeKind::Added }));
-    changes.sort_by_key(|change| change.kind.rank());
+    changes.sort_by_key(|change| change.kind.sort_rank());
     changes
 }
 
-/// What changes for a server that both lists name.
-fn changes_of_listed(old: &ServerEndpoint, new: &ServerEndpoint) -> Vec<ChangeKind> {
+/// Returns the changes of a server that is in both lists.
+fn changes_of_server(old: &ServerEndpoint, new: &ServerEndpoint) -> Vec<ChangeKind> {
     let mut kinds = Vec::new();
     if new.draining && !old.draining {
         kinds.push(ChangeKind::Drained);
--- a/crates/ochrelead-discovery/src/counters.rs
+++ b/crates/ochrelead-discovery/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of adoptions and refusals, in the text format of Prometheus.
+//! Counters of readings, adoptions and refusals, in the text format of Prometheus.
 
 use std::collections::BTreeMap;
 
@@ -11,19 +11,19 @@
 
 use crate::adoption::ServerChange;
 
-/// The prefix of all metric names.
+/// Prefix of all metric names.
 const PREFIX: &str = "ochrelead_fleet";
-/// The age of a fleet that was not adopted by this process.
+/// Value of the age metric for a fleet that this process has not adopted, in seconds.
 const UNKNOWN_AGE: i64 = -1;
 
-/// What was counted since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Readings whose contents differed from the one before.
+    /// Readings whose contents differed from the previous reading.
     pub readings: u64,
     /// Fleets adopted.
     pub adoptions: u64,
-    /// Changes of servers by adopted fleets, by the name of the change.
+    /// Changes of servers by adopted fleets, by the name of the kind of change.
     pub changes: BTreeMap<&'static str, u64>,
     /// Readings rejected, by reason.
     pub refusals: BTreeMap<&'static str, u64>,
@@ -41,7 +41,7 @@
         *self.refusals.entry(reason).or_insert(0) += 1;
     }
 
-    /// The counters as text, with the generation and the age of the fleet in force.
+    /// Encodes the counters, and the generation and the age of the fleet in force.
     pub fn to_prometheus(&self, generation: u64, age: Option<Span>) -> String {
         let mut registry = Registry::with_prefix(PREFIX);
         registry.register("readings", "Changed contents that were read", counter(self.readings));
@@ -64,7 +64,7 @@
             gauge(age_seconds),
         );
         let mut text = String::new();
-        encode(&mut text, &registry).expect("a string takes all that is written");
+        encode(&mut text, &registry).expect("writing to a String does not fail");
         text
     }
 }
--- a/crates/ochrelead-discovery/src/fleet.rs
+++ b/crates/ochrelead-discovery/src/fleet.rs
@@ -1,4 +1,4 @@
-//! From files to one candidate, or to all that is wrong with them.
+//! Joins the fleet files into one candidate fleet, or reports all errors in them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,41 +10,41 @@
 
 use crate::source_file::SourceFile;
 
-/// The most servers of a fleet.
+/// Maximum number of servers in a fleet.
 const MAX_SERVERS: usize = 10_000;
 
 /// The version of one file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FileVersion {
-    /// Its generation; each change of the file has a higher one.
+    /// The generation of the file; each change of the file increases it.
     pub generation: u64,
-    /// The generation in force that it returns from, where it goes back on purpose.
+    /// The generation in force that an intended return to an older generation replaces.
     pub returns_from: Option<u64>,
 }
 
-/// A fleet as its files have it.
+/// The contents of all files of a fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fleet {
     /// The version of each file, by its name.
     pub files: BTreeMap<String, FileVersion>,
-    /// The names of servers whose leaving is confirmed.
+    /// The names of servers whose removal or drain is confirmed.
     pub confirmed: Vec<String>,
     /// The servers.
     pub servers: Vec<ServerEndpoint>,
 }
 
 impl Fleet {
-    /// The newest generation of its files.
+    /// The highest generation of the files.
     pub fn generation(&self) -> u64 {
         self.files.values().map(|version| version.generation).max().unwrap_or(0)
     }
 }
 
-/// Joins all files into one candidate. `services`: the names of the services that must each have a server.
+/// Joins all files into one candidate. `services` are the names of the services that must each have a ready server.
 ///
 /// # Errors
 ///
-/// All that is wrong, each with file, line and column.
+/// Returns a diagnostic with file, line and column for each error found.
 pub fn join(files: &[SourceFile], services: &[String]) -> Result<Fleet, Vec<Diagnostic>> {
     let mut joiner =
         Joiner { services, fleet: Fleet::default(), locations: Vec::new(), diagnostics: Vec::new() };
@@ -52,7 +52,7 @@
         joiner.add_file(file);
     }
     if joiner.diagnostics.is_empty() {
-        joiner.check_whole(files.first().map_or("", |file| &file.name));
+        joiner.check_joined_fleet(files.first().map_or("", |file| &file.name));
     }
     joiner.fleet.confirmed.sort();
     if joiner.diagnostics.is_empty() { Ok(joiner.fleet) } else { Err(joiner.diagnostics) }
@@ -61,7 +61,7 @@
 struct Joiner<'a> {
     services: &'a [String],
     fleet: Fleet,
-    /// Where each server of the fleet was listed first.
+    /// Where each server of the fleet was first listed, as file, line and column.
     locations: Vec<String>,
     diagnostics: Vec<Diagnostic>,
 }
@@ -86,28 +86,32 @@
         self.diagnostics.append(&mut document.diagnostics);
     }
 
-    /// Adds a server to those listed before it. The same server listed twice counts once; with other figures, or with
-    /// another server's number or address, it is an error that names both locations.
+    /// Adds a server to those listed before. An identical entry for the same name is ignored. A different entry for the
+    /// same name, or a number or address that another server has, is an error that names both locations.
     fn add_server(&mut self, server: ServerEndpoint, path: &str, document: &mut Document) {
         for name in &server.services {
             if !self.services.contains(name) {
-                document.report(&format!("{path}.service"), format!("no service is named {name:?}"));
+                let configured = self.services.join(", ");
+                let message = format!("unknown service {name:?}; the configured services are: {configured}");
+                document.report(&format!("{path}.service"), message);
             }
         }
         for (other, location) in self.fleet.servers.iter().zip(&self.locations) {
             if other.name == server.name {
                 if *other != server {
-                    let message = format!("{} is said with other figures at {location}", server.name);
+                    let message = format!("{} is listed with different values at {location}", server.name);
                     document.report(path, message);
                 }
                 return;
             }
             if other.number == server.number {
-                let message = format!("number {} is {}'s too, at {location}", server.number, other.name);
+                let message =
+                    format!("number {} is already used by {} at {location}", server.number, other.name);
                 document.report(path, message);
             }
             if other.address == server.address {
-                let message = format!("address {} is {}'s too, at {location}", server.address, other.name);
+                let message =
+                    format!("address {} is already used by {} at {location}", server.address, other.name);
                 document.report(path, message);
             }
         }
@@ -115,32 +119,32 @@
         self.locations.push(document.location(path));
     }
 
-    /// Checks what only all files together show; it is reported at the start of the first one.
-    fn check_whole(&mut self, file: &str) {
+    /// Checks the joined fleet. Errors are reported at the start of the first file.
+    fn check_joined_fleet(&mut self, file: &str) {
         let servers = &self.fleet.servers;
-        let mut report = |message: &str| self.diagnostics.push(whole_file_diagnostic(file, message));
+        let mut report = |message: &str| self.diagnostics.push(file_diagnostic(file, message));
         if servers.is_empty() {
-            return report("no server: a fleet has at least one");
+            return report("no server listed; a fleet needs at least one");
         }
         if servers.len() > MAX_SERVERS {
-            report(&format!("{} servers; there must be {MAX_SERVERS} at most", servers.len()));
+            report(&format!("{} servers listed; the maximum is {MAX_SERVERS}", servers.len()));
         }
         for service in self.services {
             let serves = |server: &ServerEndpoint| {
                 !server.draining && (server.services.is_empty() || server.services.contains(service))
             };
             if !servers.iter().any(serves) {
-                report(&format!("service {service:?} is left without a server"));
+                report(&format!("service {service:?} has no ready server"));
             }
         }
     }
 }
 
 fn parse(file: &SourceFile) -> Result<(schema::Fleet, Document), Vec<Diagnostic>> {
-    let reject = |message: &str| vec![whole_file_diagnostic(&file.name, message)];
-    let text = file.text.as_ref().map_err(|error| reject(&format!("cannot be read: {error}")))?;
+    let file_error = |message: &str| vec![file_diagnostic(&file.name, message)];
+    let text = file.text.as_ref().map_err(|error| file_error(&format!("cannot be read: {error}")))?;
     if text.trim().is_empty() {
-        return Err(reject("empty: a fleet has a generation, servers and an end"));
+        return Err(file_error("empty file; a fleet file has a generation, servers and an end"));
     }
     let (message, mut document) = Document::parse::<schema::Fleet>(&file.name, text, "Fleet")?;
     let generation = document.required("generation", message.generation);
@@ -149,17 +153,19 @@
     }
     check_end(message.end, generation, &mut document);
     if message.server.iter().any(|server| server.told.is_some()) {
-        document.report("server", "told is for what a front keeps, not for a fleet file");
+        document.report("server", "told is only valid in the state file of a front, not in a fleet file");
     }
     if document.diagnostics.is_empty() { Ok((message, document)) } else { Err(document.diagnostics) }
 }
 
-/// Checks that the text is whole: one that was cut short anywhere lacks its end, or has only some digits of it.
+/// Checks that the text is complete: a file truncated at any byte lacks the `end` field or some of its digits.
 fn check_end(end: Option<u64>, generation: u64, document: &mut Document) {
     match end {
-        None => document.report("end", format!("cut short: no `end: {generation}` as the last field")),
+        None => document
+            .report("end", format!("file truncated: `end: {generation}` is missing as the last field")),
         Some(end) if end != generation => {
-            let message = format!("cut short or not finished: end is {end}, generation is {generation}");
+            let message =
+                format!("file truncated or partly written: end is {end}, generation is {generation}");
             document.report("end", message);
         }
         Some(_) if !document.is_last_field("end") => document.report("end", "end is not the last field"),
@@ -167,30 +173,30 @@
     }
 }
 
-/// A diagnostic on a whole file; it points to its start.
-fn whole_file_diagnostic(file: &str, message: &str) -> Diagnostic {
+/// Creates a diagnostic for a whole file, located at its start.
+fn file_diagnostic(file: &str, message: &str) -> Diagnostic {
     Diagnostic { file: file.to_owned(), line: 1, column: 1, message: message.to_owned() }
 }
 
-/// Something unusual about a fleet that is no reason to reject it.
+/// An unusual property of a fleet that does not lead to a rejection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetWarning {
-    /// All other servers are draining.
+    /// Only one server is ready; all others are draining.
     SingleReadyServer {
         /// The name of the server.
         server: String,
     },
-    /// A ready server has next to no part of weighted draws.
+    /// A ready server has less than a hundredth of the weight of all ready servers, and so is rarely drawn.
     NegligibleWeight {
         /// The name of the server.
         server: String,
     },
-    /// No called number means a ready server as the first choice.
+    /// A ready server has no dialled digits, so no called number selects it as the first choice.
     NoDialledDigits {
         /// The name of the server.
         server: String,
     },
-    /// A server whose leaving is confirmed is ready.
+    /// A ready server is confirmed for removal or drain.
     ConfirmedButReady {
         /// The name of the server.
         server: String,
@@ -201,22 +207,22 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FleetWarning::SingleReadyServer { server } => {
-                write!(f, "{server} is the only server that is ready")
+                write!(f, "{server} is the only ready server")
             }
             FleetWarning::NegligibleWeight { server } => {
-                write!(f, "{server} has less than a hundredth of all weight")
+                write!(f, "{server} has less than a hundredth of the total weight of ready servers")
             }
             FleetWarning::NoDialledDigits { server } => {
-                write!(f, "{server} has no dialled digits: it is nobody's first choice")
+                write!(f, "{server} has no dialled digits: no called number selects it as the first choice")
             }
             FleetWarning::ConfirmedButReady { server } => {
-                write!(f, "{server} is confirmed as leaving, and it is ready")
+                write!(f, "{server} is confirmed as leaving, but it is listed as ready")
             }
         }
     }
 }
 
-/// What is unusual about a fleet.
+/// Returns the warnings for a fleet.
 pub fn warnings(fleet: &Fleet) -> Vec<FleetWarning> {
     let mut warnings = Vec::new();
     let ready: Vec<&ServerEndpoint> = fleet.servers.iter().filter(|server| !server.draining).collect();
--- a/crates/ochrelead-discovery/src/lib.rs
+++ b/crates/ochrelead-discovery/src/lib.rs
@@ -1,14 +1,14 @@
-//! File-based endpoint discovery: the list of servers is read from watched files, adopted whole or not at all, and
-//! persisted through restarts.
+//! File-based endpoint discovery: reads the list of servers from watched files, adopts it completely or not at all, and
+//! persists it across restarts.
 //!
-//! - [`source_file`]: a file as it was read, or why it could not be read.
-//! - [`fleet`]: from files to one candidate, or to all that is wrong with them.
-//! - [`adoption`]: whether a candidate replaces the fleet in force. Policy, free of I/O.
-//! - [`server_table`]: the servers by index, and who prevails where the list, a server's own report and the persisted
-//!   state disagree. Policy, free of I/O.
-//! - [`reloader`]: from what was read to what is in force, with [`counters`] and reasons.
-//! - [`persistence`]: what survives a restart, as text; [`store`]: the order in which it is written.
-//! - [`watch`]: reads and watches the files; it decides nothing.
+//! - [`source_file`]: the text of a file, or why it could not be read.
+//! - [`fleet`]: joins the files into one candidate fleet, or reports all errors in them.
+//! - [`adoption`]: decides whether a candidate replaces the fleet in force; without I/O.
+//! - [`server_table`]: the servers by index, and the rules that determine the state of a server from the list, its own
+//!   report and the persisted state; without I/O.
+//! - [`reloader`]: applies these decisions to each reading of the files, with [`counters`] and reasons for rejections.
+//! - [`persistence`]: the text format of the persisted endpoints; [`store`]: saves and loads it crash-safely.
+//! - [`watch`]: watches and reads the files, without interpreting them.
 //!
 //! ```
 //! use ochrelead_core::time::Moment;
@@ -36,8 +36,8 @@
 
 use ochrelead_config::diagnostic::Diagnostic;
 
-/// All diagnostics in one line, as log lines have them.
-fn in_one_line(diagnostics: &[Diagnostic]) -> String {
+/// Joins diagnostics into one line, for log lines.
+fn join_diagnostics(diagnostics: &[Diagnostic]) -> String {
     let lines: Vec<String> = diagnostics.iter().map(ToString::to_string).collect();
     lines.join("; ")
 }
--- a/crates/ochrelead-discovery/src/persistence.rs
+++ b/crates/ochrelead-discovery/src/persistence.rs
@@ -1,7 +1,7 @@
-//! What survives a restart, as text: the endpoints in force and what their servers reported of themselves.
+//! The text format in which a front persists the endpoints in force and the reports of their servers about themselves.
 //!
-//! The first line says what the file is, its version, and the CRC-32 checksum of all that follows; a message in
-//! protobuf text format follows.
+//! The header line contains the kind of file, its version and the CRC-32 checksum of the body. The body is a message in
+//! protobuf text format.
 
 use ochrelead_config::diagnostic::Diagnostic;
 use ochrelead_config::document::{Document, to_text};
@@ -11,33 +11,33 @@
 use thiserror::Error;
 
 use crate::fleet::{FileVersion, Fleet};
-use crate::in_one_line;
+use crate::join_diagnostics;
 use crate::server_table::{ListedServer, SelfReport};
 
-/// What the file is, and its version; the checksum follows in the same line.
+/// Kind and version of the file; the checksum follows on the same line.
 const HEADER: &str = "ochrelead kept 1";
-/// The message of the schemas that is stored.
-const MESSAGE: &str = "Kept";
-/// How a report of a drain is stored.
+/// Name of the stored message in the schemas.
+const MESSAGE_NAME: &str = "Kept";
+/// Stored value of [`SelfReport::Draining`].
 const DRAINING: &str = "drains";
-/// How a report of a server's end is stored.
+/// Stored value of [`SelfReport::Gone`].
 const GONE: &str = "gone";
 
-/// Why stored text can't be used.
+/// Why stored text cannot be restored.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum RestoreError {
-    /// It has not even one whole line.
-    #[error("torn: no first line")]
+    /// The text has no complete header line.
+    #[error("truncated: no complete header line")]
     NoHeader,
-    /// Its first line, given here, is of another kind or version.
-    #[error("no file of this kind and version: {0:.40}")]
+    /// The header line, given here, is of another kind or version.
+    #[error("unknown kind or version: header is '{0:.40}', expected '{HEADER}' and a checksum")]
     UnknownHeader(String),
-    /// The checksum does not match.
-    #[error("torn: its checksum does not fit")]
+    /// The checksum in the header does not match the body.
+    #[error("truncated or corrupt: the checksum in the header does not match the body")]
     ChecksumMismatch,
-    /// It holds no valid list.
-    #[error("{}", in_one_line(.0))]
+    /// The body is not a valid list.
+    #[error("{}", join_diagnostics(.0))]
     Invalid(Vec<Diagnostic>),
 }
 
@@ -46,21 +46,21 @@
 pub struct FileGeneration {
     /// The name of the file.
     pub name: String,
-    /// Its generation.
+    /// The generation of the file.
     pub generation: u64,
 }
 
-/// The endpoints in force, as stored.
+/// The endpoints in force, in the form that is stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PersistedEndpoints {
-    /// The generations of the files; none where the list did not come from files.
+    /// The generations of the files; empty if the list did not come from files.
     pub files: Vec<FileGeneration>,
-    /// The servers, with what they reported of themselves.
+    /// The listed servers, each with its own last report.
     pub servers: Vec<ListedServer>,
 }
 
 impl PersistedEndpoints {
-    /// The fleet that was in force; none where the list did not come from files.
+    /// The fleet that was in force. `None` if the list did not come from files.
     pub fn fleet(&self) -> Option<Fleet> {
         let version = |file: &FileGeneration| FileVersion { generation: file.generation, returns_from: None };
         let files = self.files.iter().map(|file| (file.name.clone(), version(file))).collect();
@@ -68,21 +68,21 @@
         (!self.files.is_empty()).then_some(Fleet { files, confirmed: Vec::new(), servers })
     }
 
-    /// The text to store, checksum and all.
+    /// Encodes the header line with the checksum, and the body.
     pub fn encode(&self) -> String {
         let message = schema::Kept {
             file: self.files.iter().map(encode_file).collect(),
             server: self.servers.iter().map(encode_server).collect(),
         };
-        let body = to_text(&message, MESSAGE);
+        let body = to_text(&message, MESSAGE_NAME);
         format!("{HEADER} {:08x}\n{body}", crc32fast::hash(body.as_bytes()))
     }
 
-    /// Reads what [`PersistedEndpoints::encode`] wrote. `file`: the name of the file, for diagnostics.
+    /// Decodes the text of [`PersistedEndpoints::encode`]. `file` is the name of the file, for diagnostics.
     ///
     /// # Errors
     ///
-    /// Where the text is torn, of another kind or version, or no valid list.
+    /// If the text is truncated or corrupt, of another kind or version, or not a valid list.
     pub fn decode(file: &str, text: &str) -> Result<PersistedEndpoints, RestoreError> {
         let (header, body) = text.split_once('\n').ok_or(RestoreError::NoHeader)?;
         let checksum =
@@ -91,7 +91,7 @@
             return Err(RestoreError::ChecksumMismatch);
         }
         let (message, mut document) =
-            Document::parse::<schema::Kept>(file, body, MESSAGE).map_err(RestoreError::Invalid)?;
+            Document::parse::<schema::Kept>(file, body, MESSAGE_NAME).map_err(RestoreError::Invalid)?;
         let endpoints = server_endpoint::check_servers(&message.server, "", &mut document);
         let self_reports = message.server.iter().map(decode_self_report);
         let servers = endpoints
--- a/crates/ochrelead-discovery/src/reloader.rs
+++ b/crates/ochrelead-discovery/src/reloader.rs
@@ -1,4 +1,5 @@
-//! From what was read to what is in force. Every reading is whole; a bad one changes nothing.
+//! Decides on each reading of the fleet files whether it becomes the fleet in force. A reading contains all files; one
+//! that is rejected changes nothing.
 
 use ochrelead_config::diagnostic::Diagnostic;
 use ochrelead_config::server_endpoint::ServerEndpoint;
@@ -8,45 +9,45 @@
 use crate::adoption::{self, Refusal, ServerChange, Verdict};
 use crate::counters::Counters;
 use crate::fleet::{self, Fleet};
-use crate::in_one_line;
+use crate::join_diagnostics;
 use crate::source_file::SourceFile;
 
-/// A rejected reading is reported only when it is still there after this time: a file that is being written is
-/// invalid for a moment.
+/// A rejected reading is reported only if the files are unchanged after this time: a file is invalid for a moment while
+/// it is being written.
 const REPORT_DELAY: Span = Span::from_millis(150);
 
-/// What the host is to do.
+/// The result of a reading that the host must act on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReloadOutcome {
-    /// These servers are the list from now on.
+    /// A new fleet is in force.
     Adopted {
         /// The servers.
         servers: Vec<ServerEndpoint>,
         /// The generation of the fleet.
         generation: u64,
-        /// What differs from the list before.
+        /// The changes from the previous fleet.
         changes: Vec<ServerChange>,
     },
-    /// The list stays, and the reason is to be logged.
+    /// The fleet in force is unchanged; the host logs this reason.
     Rejected(ReadingError),
 }
 
 /// Why a reading is not adopted.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ReadingError {
-    /// There is no file.
-    #[error("no fleet file is there")]
+    /// There is no fleet file.
+    #[error("no fleet file found")]
     NoFiles,
-    /// The files are no valid fleet.
-    #[error("{}", in_one_line(.0))]
+    /// The files are not a valid fleet.
+    #[error("{}", join_diagnostics(.0))]
     Invalid(Vec<Diagnostic>),
-    /// The fleet does not follow on the one in force.
+    /// The fleet is valid but may not replace the one in force.
     #[error("{0}")]
     Refused(Refusal),
 }
 
 impl ReadingError {
-    /// Its name in counters.
+    /// The name of this reason in counters.
     pub fn name(&self) -> &'static str {
         match self {
             ReadingError::NoFiles | ReadingError::Invalid(_) => "unsound",
@@ -57,11 +58,11 @@
 
 /// A rejected reading that has not been reported yet.
 struct PendingReport {
-    since: Moment,
+    rejected_at: Moment,
     error: ReadingError,
 }
 
-/// Decides on each reading of the files, and remembers the fleet in force.
+/// Decides on each reading of the fleet files, and holds the fleet in force.
 pub struct EndpointReloader {
     services: Vec<String>,
     in_force: Fleet,
@@ -72,8 +73,8 @@
 }
 
 impl EndpointReloader {
-    /// Starts with the fleet that was in force before a restart, if any. `services`: the names of the services that
-    /// must each have a server.
+    /// Creates a reloader that starts with the fleet that was in force before a restart, if any. `services` are the
+    /// names of the services that must each have a server.
     pub fn new(services: Vec<String>, persisted: Option<Fleet>) -> EndpointReloader {
         EndpointReloader {
             services,
@@ -85,15 +86,17 @@
         }
     }
 
-    /// Handles all files as they were read at once.
+    /// Handles one reading of all files. If they have changed, returns the adopted fleet, or `None` if they give the
+    /// fleet in force or are rejected. If they are unchanged, returns a pending rejection that is due, as
+    /// [`EndpointReloader::poll_report`] does.
     pub fn handle_files(&mut self, now: Moment, files: Vec<SourceFile>) -> Option<ReloadOutcome> {
         if files == self.last_reading {
             return self.poll_report(now);
         }
         self.counters.readings += 1;
-        let evaluated = self.evaluate(&files);
+        let evaluation = self.evaluate(&files);
         self.last_reading = files;
-        match evaluated {
+        match evaluation {
             Ok(None) => {
                 self.pending_report = None;
                 None
@@ -101,13 +104,13 @@
             Ok(Some((candidate, changes))) => Some(self.adopt(now, candidate, changes)),
             Err(error) => {
                 self.counters.count_refusal(error.name());
-                self.pending_report = Some(PendingReport { since: now, error });
+                self.pending_report = Some(PendingReport { rejected_at: now, error });
                 None
             }
         }
     }
 
-    /// The fleet to adopt and what it changes; none where it is the one in force.
+    /// Returns the fleet to adopt and its changes, or `None` if the files give the fleet in force.
     fn evaluate(&self, files: &[SourceFile]) -> Result<Option<(Fleet, Vec<ServerChange>)>, ReadingError> {
         if files.is_empty() {
             return Err(ReadingError::NoFiles);
@@ -129,15 +132,15 @@
         ReloadOutcome::Adopted { servers, generation, changes }
     }
 
-    /// Why the last reading was rejected, once it has been there long enough; reported once.
+    /// Returns why the last reading was rejected, once `REPORT_DELAY` has passed. Each rejection is reported once.
     pub fn poll_report(&mut self, now: Moment) -> Option<ReloadOutcome> {
-        let report = self.pending_report.take_if(|report| now.since(report.since) >= REPORT_DELAY)?;
+        let report = self.pending_report.take_if(|report| now.since(report.rejected_at) >= REPORT_DELAY)?;
         Some(ReloadOutcome::Rejected(report.error))
     }
 
-    /// When [`EndpointReloader::poll_report`] has something to report.
+    /// When [`EndpointReloader::poll_report`] will return a pending rejection.
     pub fn poll_timeout(&self) -> Option<Moment> {
-        self.pending_report.as_ref().map(|report| report.since + REPORT_DELAY)
+        self.pending_report.as_ref().map(|report| report.rejected_at + REPORT_DELAY)
     }
 
     /// The fleet in force.
@@ -145,12 +148,13 @@
         &self.in_force
     }
 
-    /// How long the fleet has been in force; none where it was adopted before a restart, or there is none.
+    /// The time since this process adopted the fleet in force. `None` if the fleet was adopted before a restart or
+    /// there is none.
     pub fn age(&self, now: Moment) -> Option<Span> {
         self.adopted_at.map(|adopted_at| now.since(adopted_at))
     }
 
-    /// What was counted.
+    /// The counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
--- a/crates/ochrelead-discovery/src/server_table.rs
+++ b/crates/ochrelead-discovery/src/server_table.rs
@@ -1,15 +1,17 @@
-//! The servers by index, and who prevails where the list, a server's own report and the persisted state disagree.
+//! The servers by index, and the rules that determine the state of a server from the list, the server's own report and
+//! the persisted state.
 //!
-//! | the list says | the server reported | in force |
+//! | list | report of the server | resulting state |
 //! | --- | --- | --- |
-//! | draining | anything | draining |
-//! | ready | nothing, or that it started | ready |
-//! | ready | that it drains, or that it is gone | draining, gone |
-//! | ready after draining (a change) | anything | ready: the operator takes it back |
-//! | another address (a change) | anything | ready; another process, started now or as the one there before |
-//! | new in a list that was in force | - | ready, started now unless the list says when |
-//! | a later start than known | - | ready, started then |
-//! | not listed | anything | gone |
+//! | draining | none, or draining | draining |
+//! | draining | gone | gone |
+//! | ready | none, or restart | ready |
+//! | ready | draining, or gone | as reported |
+//! | changed from draining to ready | any | ready: the operator ends the drain, the report is discarded |
+//! | changed to another address | any | as listed, report discarded; started now, or as the server listed there before |
+//! | new, and a list was in force before | - | as listed; started now unless the list has a start |
+//! | start later than the known one | - | the state as above, with the listed start |
+//! | not listed | any | gone |
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,20 +24,20 @@
 /// A restart method of an RSIP command (RFC 3435 section 2.3.12).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestartMethod {
-    /// `restart`: the process has started; its former calls are gone.
+    /// `restart`: the process has started; its previous calls are lost.
     Restart,
-    /// `graceful`: it takes no new calls; established ones go on.
+    /// `graceful`: the server takes no new calls; established ones continue.
     Graceful,
-    /// `forced`: it is gone, with all its calls.
+    /// `forced`: the server is gone and all its calls are lost.
     Forced,
-    /// `cancel-graceful`: it takes new calls after all.
+    /// `cancel-graceful`: the server cancels a `graceful` and takes new calls.
     CancelGraceful,
-    /// `disconnected`: it had lost contact with this front; nothing changes.
+    /// `disconnected`: the server had lost contact with this front; its state does not change.
     Disconnected,
 }
 
 impl RestartMethod {
-    /// The method of an `RM` line; none where RFC 3435 has no such method.
+    /// Parses the method of an `RM` line. Returns `None` for any other than the five methods above.
     pub fn parse(method: &str) -> Option<RestartMethod> {
         match method.to_ascii_lowercase().as_str() {
             "restart" => Some(RestartMethod::Restart),
@@ -48,37 +50,37 @@
     }
 }
 
-/// What a server last reported of itself.
+/// The state that a server last reported about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SelfReport {
-    /// Nothing, or that it is in service.
+    /// No report, or that the server is in service.
     #[default]
     None,
-    /// It takes no new calls.
+    /// The server takes no new calls.
     Draining,
-    /// It is gone.
+    /// The server is gone.
     Gone,
 }
 
-/// A server of the list, with what it reported of itself.
+/// A listed server and its own last report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
-    /// The server as listed, with the last start that is known.
+    /// The server as listed, with its last known start.
     pub endpoint: ServerEndpoint,
-    /// What it last reported.
+    /// The last report of the server.
     pub self_report: SelfReport,
 }
 
-/// What follows from a server's restart method.
+/// The effect of a restart method that a server reported.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartEffect {
-    /// The state of the server from now on.
+    /// The resulting state of the server.
     pub update: EndpointUpdate,
-    /// Whether its calls are gone.
+    /// Whether all calls of the server are lost.
     pub calls_lost: bool,
 }
 
-/// A server that is listed or has been.
+/// A server that is listed, or was listed before.
 struct ServerEntry {
     endpoint: ServerEndpoint,
     is_listed: bool,
@@ -96,22 +98,23 @@
         }
     }
 
-    /// Takes over what a new list says of it. `process_started`: the start of the process that it is now, where it
-    /// has moved.
+    /// Applies the entry of a new list. `process_started` is the start of the process at the listed address; it is used
+    /// if the server has moved.
     fn update(&mut self, listed: &ServerEndpoint, process_started: Option<Moment>) {
         let has_moved = self.endpoint.address != listed.address;
-        let is_taken_back = self.endpoint.draining && !listed.draining;
+        let is_drain_ended = self.endpoint.draining && !listed.draining;
         let known_start = if has_moved { process_started } else { self.endpoint.started };
         let started = known_start.max(listed.started);
-        if has_moved || is_taken_back {
+        if has_moved || is_drain_ended {
             self.self_report = SelfReport::None;
         }
         self.endpoint = ServerEndpoint { started, ..listed.clone() };
         self.is_listed = true;
     }
 
-    /// Takes over what the server reports; whether its calls are gone, or none where nothing changes. A drain that is
-    /// reported late does not bring back what is gone, and what is gone is not back without a start.
+    /// Applies a restart method that the server reported. Returns whether its calls are lost, or `None` if nothing
+    /// changes. A server that is gone stays gone until it reports a restart: a late `graceful` or `cancel-graceful` is
+    /// ignored.
     fn handle_restart(&mut self, method: RestartMethod, now: Moment) -> Option<bool> {
         match (method, self.self_report) {
             (RestartMethod::Restart, _) => {
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Its line in the status: its state and the reason for it.
+    /// The status line of the server: its state and the reason for it.
     fn status(&self) -> String {
         let (state, reason) = match (self.is_listed, self.self_report, self.endpoint.draining) {
             (false, ..) => ("gone", "the list does not name it"),
@@ -149,19 +152,19 @@
     }
 }
 
-/// The servers in the order in which they were first listed.
+/// All servers, indexed in the order in which they were first listed.
 #[derive(Default)]
 pub struct ServerTable {
     servers: Vec<ServerEntry>,
     by_address: HashMap<SocketAddr, ServerIx>,
     by_name: HashMap<String, ServerIx>,
-    /// A list that is not empty has been in force.
-    has_had_list: bool,
+    /// Whether a non-empty list has been in force.
+    had_list: bool,
 }
 
 impl ServerTable {
-    /// Replaces the list: what it names is listed, all else is gone. A server that moves to another address keeps its
-    /// index.
+    /// Replaces the list and returns the state of all servers. Servers that are not in the new list are gone. A server
+    /// that moves to another address keeps its index.
     pub fn replace_list(&mut self, endpoints: &[ServerEndpoint], now: Moment) -> Vec<EndpointUpdate> {
         let listed = self.servers.iter().filter(|entry| entry.is_listed);
         let process_starts: HashMap<SocketAddr, Option<Moment>> =
@@ -175,33 +178,33 @@
                     let process_started = process_starts.get(&endpoint.address).copied().unwrap_or(Some(now));
                     self.servers[server.index()].update(endpoint, process_started);
                 }
-                None => self.add(endpoint.clone(), now),
+                None => self.add_server(endpoint.clone(), now),
             }
         }
         self.index_addresses();
-        self.has_had_list |= !endpoints.is_empty();
-        self.updates()
+        self.had_list |= !endpoints.is_empty();
+        self.all_updates()
     }
 
-    fn add(&mut self, mut endpoint: ServerEndpoint, now: Moment) {
-        // A server that is new in a running fleet has most likely just started.
-        if self.has_had_list {
+    fn add_server(&mut self, mut endpoint: ServerEndpoint, now: Moment) {
+        // A server that is added to a list in force has most likely just started.
+        if self.had_list {
             endpoint.started = endpoint.started.or(Some(now));
         }
         self.by_name.insert(endpoint.name.clone(), ServerIx::new(self.servers.len()));
         self.servers.push(ServerEntry { endpoint, is_listed: true, self_report: SelfReport::None });
     }
 
-    /// Indexes the listed servers' addresses. A server that has left an address is still known by it, until another
-    /// takes it.
+    /// Indexes the addresses of the listed servers. The previous address of a server still maps to it until another
+    /// server is listed there, so that late messages from that address are attributed to it.
     fn index_addresses(&mut self) {
         for (index, entry) in self.servers.iter().enumerate().filter(|(_, entry)| entry.is_listed) {
             self.by_address.insert(entry.endpoint.address, ServerIx::new(index));
         }
     }
 
-    /// Restores what the servers had reported before this front was restarted, for those that are listed at the same
-    /// address.
+    /// Restores the reports and starts of the servers from before a restart of this front, for servers that are listed
+    /// at the same address. Returns the state of all servers.
     pub fn restore_self_reports(&mut self, persisted: &[ListedServer]) -> Vec<EndpointUpdate> {
         for ListedServer { endpoint, self_report } in persisted {
             let Some(server) = self.by_name.get(&endpoint.name) else { continue };
@@ -211,20 +214,20 @@
                 entry.endpoint.started = entry.endpoint.started.max(endpoint.started);
             }
         }
-        self.updates()
+        self.all_updates()
     }
 
-    fn updates(&self) -> Vec<EndpointUpdate> {
-        (0..self.servers.len()).map(ServerIx::new).map(|server| self.update_of(server)).collect()
+    fn all_updates(&self) -> Vec<EndpointUpdate> {
+        (0..self.servers.len()).map(ServerIx::new).map(|server| self.update_for(server)).collect()
     }
 
-    fn update_of(&self, server: ServerIx) -> EndpointUpdate {
+    fn update_for(&self, server: ServerIx) -> EndpointUpdate {
         let entry = &self.servers[server.index()];
         let ServerEndpoint { number, weight, .. } = entry.endpoint;
         EndpointUpdate { server, number, state: entry.state(), weight }
     }
 
-    /// A server reports its restart, its drain or its end; none where that changes nothing.
+    /// Handles a restart method that a server reported. Returns `None` if it changes nothing.
     pub fn handle_restart(
         &mut self,
         server: ServerIx,
@@ -232,25 +235,25 @@
         now: Moment,
     ) -> Option<RestartEffect> {
         let calls_lost = self.servers[server.index()].handle_restart(method, now)?;
-        Some(RestartEffect { update: self.update_of(server), calls_lost })
+        Some(RestartEffect { update: self.update_for(server), calls_lost })
     }
 
-    /// The server that is, or was last, at an address.
+    /// The server that is listed at an address, or was the last one there.
     pub fn find_by_address(&self, address: SocketAddr) -> Option<ServerIx> {
         self.by_address.get(&address).copied()
     }
 
-    /// The server of a name, in any case of letters.
+    /// The server with a name; upper and lower case are not distinguished.
     pub fn find_by_name(&self, name: &str) -> Option<ServerIx> {
         self.by_name.get(&name.to_ascii_lowercase()).copied()
     }
 
-    /// A server as it was last listed, with the last start that is known.
+    /// A server as it was last listed, with its last known start.
     pub fn endpoint(&self, server: ServerIx) -> &ServerEndpoint {
         &self.servers[server.index()].endpoint
     }
 
-    /// The list in force, with what each server reported of itself.
+    /// The list in force, with the last report of each server.
     pub fn listed_servers(&self) -> Vec<ListedServer> {
         let listed = self.servers.iter().filter(|entry| entry.is_listed);
         listed
@@ -258,7 +261,7 @@
             .collect()
     }
 
-    /// One line a server: its state and the reason for it.
+    /// Returns one status line for each server: its state and the reason for it.
     pub fn status(&self) -> Vec<String> {
         self.servers.iter().map(ServerEntry::status).collect()
     }
--- a/crates/ochrelead-discovery/src/source_file.rs
+++ b/crates/ochrelead-discovery/src/source_file.rs
@@ -1,4 +1,4 @@
-//! A file as it was read.
+//! The result of reading one fleet file.
 
 use std::str::Utf8Error;
 
@@ -7,7 +7,7 @@
 /// The largest file that is read, in bytes.
 pub const MAX_FILE_SIZE: u64 = 16 * 1024 * 1024;
 
-/// What was found under one name: the text, or why there is none.
+/// A fleet file: its text, or why it could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceFile {
     /// The name of the file, without its folder.
@@ -16,17 +16,17 @@
     pub text: Result<String, ReadError>,
 }
 
-/// Why a file has no text.
+/// Why a file could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum ReadError {
-    /// The operating system could not read it, and reported this.
+    /// The operating system reported this error.
     #[error("{0}")]
     Io(String),
-    /// It has that many bytes, more than [`MAX_FILE_SIZE`].
-    #[error("{0} bytes; a fleet file has {MAX_FILE_SIZE} at most")]
+    /// The file has this many bytes, more than [`MAX_FILE_SIZE`].
+    #[error("file has {0} bytes; the maximum is {MAX_FILE_SIZE}")]
     TooLarge(u64),
-    /// Its bytes are no text.
+    /// The contents are not UTF-8 text.
     #[error("not UTF-8 text: {0}")]
     NotUtf8(Utf8Error),
 }
--- a/crates/ochrelead-discovery/src/store.rs
+++ b/crates/ochrelead-discovery/src/store.rs
@@ -1,7 +1,7 @@
-//! Where a front stores its endpoints: one file, and the one before it.
+//! Stores the endpoints of a front in a current file, and keeps the previous one.
 //!
-//! A save writes beside, syncs, renames the present file to the former one and the new one into its place, and syncs
-//! the folder; whatever of these steps was last, one whole file can be read.
+//! A save writes a new file, syncs it, renames the current file to the previous one and the new file to the current
+//! one, and syncs the folder. After a crash between any two of these steps, one complete file can be read.
 
 use std::io;
 
@@ -10,54 +10,55 @@
 
 use crate::persistence::{PersistedEndpoints, RestoreError};
 
-const PRESENT: &str = "kept";
-const FORMER: &str = "kept.former";
+const CURRENT: &str = "kept";
+const PREVIOUS: &str = "kept.former";
 
-/// A file that was passed over, and why.
+/// A file that was skipped when loading, and the reason.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{name}: {error}")]
 pub struct RejectedFile {
     /// The name of the file.
     pub name: &'static str,
-    /// Why it can't be used.
+    /// Why the file cannot be restored.
     pub error: RestoreError,
 }
 
-/// What was found in a store.
+/// The result of loading from a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadedEndpoints {
-    /// What was saved last, as far as it can be read.
+    /// The latest saved endpoints that can be read, if any.
     pub endpoints: Option<PersistedEndpoints>,
-    /// The newer files that can't be used.
+    /// The newer files that cannot be restored.
     pub rejected: Vec<RejectedFile>,
 }
 
-/// Saves in an order that a kill at any point survives.
+/// Saves the endpoints. After a crash at any point the old or the new ones can be loaded.
 ///
 /// # Errors
 ///
-/// Where the disk fails; what was saved before can still be read.
+/// If the disk fails. The endpoints saved before can still be loaded.
 pub fn save(disk: &mut impl Disk, endpoints: &PersistedEndpoints) -> io::Result<()> {
     let contents = endpoints.encode();
-    replace_after(disk, PRESENT, contents.as_bytes(), Durability::Synced, keep_present)
+    replace_after(disk, CURRENT, contents.as_bytes(), Durability::Synced, rotate_current)
 }
 
-/// Keeps the present file as the former one. One that is torn must not replace a former one that is whole.
-fn keep_present(disk: &mut impl Disk) -> io::Result<()> {
-    match load_file(disk, PRESENT)? {
-        Some(Ok(_)) => disk.rename(PRESENT, FORMER),
+/// Renames the current file to the previous one if it can be restored. A torn current file must not replace a complete
+/// previous one.
+fn rotate_current(disk: &mut impl Disk) -> io::Result<()> {
+    match load_file(disk, CURRENT)? {
+        Some(Ok(_)) => disk.rename(CURRENT, PREVIOUS),
         Some(Err(_)) | None => Ok(()),
     }
 }
 
-/// Loads what was saved last.
+/// Loads the latest saved endpoints that can be read.
 ///
 /// # Errors
 ///
-/// Where the disk fails.
+/// If the disk fails.
 pub fn load(disk: &impl Disk) -> io::Result<LoadedEndpoints> {
     let mut rejected = Vec::new();
-    for name in [PRESENT, FORMER] {
+    for name in [CURRENT, PREVIOUS] {
         match load_file(disk, name)? {
             Some(Ok(endpoints)) => return Ok(LoadedEndpoints { endpoints: Some(endpoints), rejected }),
             Some(Err(error)) => rejected.push(RejectedFile { name, error }),
--- a/crates/ochrelead-discovery/src/watch.rs
+++ b/crates/ochrelead-discovery/src/watch.rs
@@ -1,5 +1,5 @@
-//! Files and notifications. A thread reads all files whole whenever anything has changed, and at a slow poll besides:
-//! events get lost, and some file systems give none. It decides nothing.
+//! Watches and reads the fleet files. A thread reads all files after each file system event, and also at a fixed
+//! interval: events can be lost, and some file systems send none. The contents are not interpreted here.
 
 use std::fs;
 use std::io;
@@ -13,16 +13,17 @@
 
 use crate::source_file::{MAX_FILE_SIZE, ReadError, SourceFile};
 
-/// How often the files are read although no event has come.
+/// The files are read at this interval even without events.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Events that come within this time are one.
-const EVENT_GATHERING: Duration = Duration::from_millis(2);
-/// How often the watch is renewed: the folder may be another one of the same name.
-const WATCH_RENEWAL: Duration = Duration::from_millis(500);
-/// The extension of a fleet file; other files of a folder are not read.
-const EXTENSION: &str = "textproto";
+/// Events within this time after the first one are handled together.
+const EVENT_DEBOUNCE: Duration = Duration::from_millis(2);
+/// The watch is renewed at this interval, because the folder may have been replaced by another one with the same path.
+const WATCH_RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
+/// Extension of the fleet files in a folder; other files there are not read.
+const FLEET_FILE_EXTENSION: &str = "textproto";
 
-/// Reads a fleet file, or all of a folder, in the order of their names.
+/// Reads one fleet file, or all fleet files of a folder in the order of their names. Hidden files are skipped. Returns
+/// an empty list if the path does not exist.
 pub fn read_files(path: &Path) -> Vec<SourceFile> {
     let mut paths: Vec<PathBuf> = match fs::read_dir(path) {
         Ok(entries) => {
@@ -41,7 +42,7 @@
 
 fn is_fleet_file(path: &Path) -> bool {
     let is_hidden = path.file_name().is_some_and(|name| name.to_string_lossy().starts_with('.'));
-    !is_hidden && path.extension().is_some_and(|extension| extension == EXTENSION)
+    !is_hidden && path.extension().is_some_and(|extension| extension == FLEET_FILE_EXTENSION)
 }
 
 fn read_text(path: &Path) -> Result<String, ReadError> {
@@ -54,11 +55,12 @@
     String::from_utf8(bytes).map_err(|error| ReadError::NotUtf8(error.utf8_error()))
 }
 
-/// Watches a file or a folder; each changed reading comes out of the channel. The thread ends when that is dropped.
+/// Watches a file or a folder in a thread, and sends each changed reading to the returned channel. The thread ends when
+/// the receiver is dropped.
 ///
 /// # Errors
 ///
-/// Where the thread can't be started.
+/// If the thread cannot be started.
 pub fn start(path: PathBuf) -> io::Result<Receiver<Vec<SourceFile>>> {
     let (sender, readings) = async_channel::unbounded();
     thread::Builder::new().name("fleet".to_owned()).spawn(move || run(&path, &sender))?;
@@ -71,7 +73,7 @@
     let mut watched_since = Instant::now();
     let mut last_reading = None;
     while !readings.is_closed() {
-        if watcher.is_none() || watched_since.elapsed() > WATCH_RENEWAL {
+        if watcher.is_none() || watched_since.elapsed() > WATCH_RENEWAL_INTERVAL {
             watcher = watch(path, event_sender.clone());
             watched_since = Instant::now();
         }
@@ -85,14 +87,14 @@
         if events.recv_timeout(POLL_INTERVAL) == Err(RecvTimeoutError::Disconnected) {
             thread::sleep(POLL_INTERVAL);
         }
-        thread::sleep(EVENT_GATHERING);
+        thread::sleep(EVENT_DEBOUNCE);
         while events.try_recv().is_ok() {}
     }
 }
 
-/// Watches the path and the folder that it is in: a replaced link is an event of that folder.
+/// Watches the path and its parent folder: the replacement of a symbolic link is an event of the parent folder.
 fn watch(path: &Path, events: mpsc::Sender<()>) -> Option<impl Watcher> {
-    // Where nothing can be watched the poll serves.
+    // If no watcher can be created, changes are still detected at each `POLL_INTERVAL`.
     let mut watcher = notify::recommended_watcher(move |event: notify::Result<notify::Event>| {
         if event.is_ok_and(|event| !event.kind.is_access()) {
             let _ = events.send(());
--- a/crates/ochrelead-discovery/tests/common/mod.rs
+++ b/crates/ochrelead-discovery/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of several modules use.
+//! Helpers for several test files.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -12,7 +12,7 @@
 use ochrelead_discovery::fleet::{self, FileVersion, Fleet};
 use ochrelead_discovery::source_file::SourceFile;
 
-/// The services that a fleet must serve.
+/// The services that must each have a server in a fleet.
 pub(crate) fn services() -> Vec<String> {
     vec!["check".to_owned(), "set".to_owned()]
 }
@@ -21,7 +21,7 @@
     SourceFile { name: name.to_owned(), text: Ok(text.to_owned()) }
 }
 
-/// Joins files to a fleet; the diagnostics in lines.
+/// Joins files to a fleet; errors are returned with one diagnostic on each line.
 pub(crate) fn join(files: &[SourceFile]) -> Result<Fleet, String> {
     let in_lines =
         |diagnostics: Vec<_>| diagnostics.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n");
@@ -57,19 +57,19 @@
     (1..=4).map(|port| endpoint(&format!("s{port}"), port)).collect()
 }
 
-/// The text of a fleet file with two servers; a broken one lacks its end.
-pub(crate) fn fleet_text(generation: u64, weight: f64, broken: bool) -> String {
+/// The text of a fleet file with two servers; a truncated one lacks the `end` field.
+pub(crate) fn fleet_text(generation: u64, weight: f64, is_truncated: bool) -> String {
     let server = |index: u64| {
         format!(
             "server {{ name: \"s{index}\" address: \"127.0.0.1:{}\" number: {index} weight: {weight} }}\n",
             10 + index
         )
     };
-    let end = if broken { String::new() } else { format!("end: {generation}\n") };
+    let end = if is_truncated { String::new() } else { format!("end: {generation}\n") };
     format!("generation: {generation}\n{}{}{end}", server(0), server(1))
 }
 
-/// An empty folder for one test.
+/// Creates an empty folder for one test.
 pub(crate) fn empty_folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = fs::remove_dir_all(&folder);
--- a/crates/ochrelead-discovery/tests/reloader.rs
+++ b/crates/ochrelead-discovery/tests/reloader.rs
@@ -1,4 +1,4 @@
-//! From readings of the files to what is in force.
+//! Readings of the fleet files: adoption, delayed reports of rejections, and watching of the file system.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use ochrelead_discovery::watch;
 
 #[test]
-fn a_reading_is_adopted_once_and_a_broken_one_told_once_it_stands() {
+fn reading_is_adopted_once_and_a_rejection_is_reported_once_after_a_delay() {
     let mut reloader = EndpointReloader::new(services(), None);
     let read = |reloader: &mut EndpointReloader, ms, text: &str| {
         reloader.handle_files(moment(ms), vec![source_file("a", text)])
@@ -21,19 +21,19 @@
         read(&mut reloader, 0, &fleet_text(1, 1.0, false)),
         Some(ReloadOutcome::Adopted { generation: 1, .. })
     ));
-    assert_eq!(read(&mut reloader, 10, &fleet_text(1, 1.0, false)), None, "nothing new");
-    assert_eq!(read(&mut reloader, 20, &fleet_text(2, 2.0, true)), None, "half written");
+    assert_eq!(read(&mut reloader, 10, &fleet_text(1, 1.0, false)), None, "unchanged");
+    assert_eq!(read(&mut reloader, 20, &fleet_text(2, 2.0, true)), None, "partly written");
     assert!(
         matches!(read(&mut reloader, 30, &fleet_text(2, 2.0, false)), Some(ReloadOutcome::Adopted { .. })),
-        "finished"
+        "completed"
     );
-    assert_eq!(reloader.poll_timeout(), None, "nothing to tell");
+    assert_eq!(reloader.poll_timeout(), None, "no pending report");
     assert_eq!(read(&mut reloader, 40, &fleet_text(3, 0.0, false)), None);
-    assert_eq!(read(&mut reloader, 100, &fleet_text(3, 0.0, false)), None, "not yet");
+    assert_eq!(read(&mut reloader, 100, &fleet_text(3, 0.0, false)), None, "before the report delay");
     let Some(ReloadOutcome::Rejected(error)) = reloader.poll_report(moment(200)) else { panic!() };
     assert!(error.to_string().contains("weight is 0"), "{error}");
-    assert_eq!(reloader.poll_report(moment(400)), None, "told once");
-    assert_eq!(reloader.handle_files(moment(500), Vec::new()), None, "the folder is gone");
+    assert_eq!(reloader.poll_report(moment(400)), None, "reported once");
+    assert_eq!(reloader.handle_files(moment(500), Vec::new()), None, "the folder was removed");
     assert_eq!(reloader.in_force().generation(), 2);
     let counters = reloader.counters();
     assert_eq!((counters.adoptions, counters.refusals["unsound"]), (2, 3));
@@ -43,32 +43,35 @@
 }
 
 #[test]
-fn a_start_takes_the_newer_of_file_and_store() {
-    for (file, generation) in [(11, 12), (12, 12), (13, 13)] {
+fn newer_of_file_and_persisted_fleet_is_in_force_after_a_start() {
+    for (file_generation, expected) in [(11, 12), (12, 12), (13, 13)] {
         let persisted = join(&[source_file("a", &fleet_text(12, 1.0, false))]).unwrap();
         let mut reloader = EndpointReloader::new(services(), Some(persisted));
         reloader.handle_files(
             moment(0),
-            vec![source_file("a", &fleet_text(file, if file == 12 { 1.0 } else { 3.0 }, false))],
+            vec![source_file(
+                "a",
+                &fleet_text(file_generation, if file_generation == 12 { 1.0 } else { 3.0 }, false),
+            )],
         );
-        assert_eq!(reloader.in_force().generation(), generation, "file {file}");
+        assert_eq!(reloader.in_force().generation(), expected, "file {file_generation}");
     }
 }
 
-/// Waits for the reading that a reloader adopts as this generation.
-fn adopted(
+/// Handles readings until the reloader adopts this generation. Returns false after 10 s without it.
+fn is_adopted(
     reloader: &mut EndpointReloader,
     readings: &async_channel::Receiver<Vec<SourceFile>>,
     generation: u64,
 ) -> bool {
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_secs(10) {
+    let started = Instant::now();
+    while started.elapsed() < Duration::from_secs(10) {
         if reloader.in_force().generation() == generation {
             return true;
         }
         match readings.try_recv() {
             Ok(files) => {
-                let now = Moment::from_micros(begun.elapsed().as_micros() as u64);
+                let now = Moment::from_micros(started.elapsed().as_micros() as u64);
                 drop(reloader.handle_files(now, files));
             }
             Err(_) => std::thread::sleep(Duration::from_millis(1)),
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn all_ways_of_writing_reach_the_keeper() {
+fn changes_by_all_ways_of_writing_are_adopted() {
     let folder = empty_folder("watched");
     let watched = folder.join("current");
     fs::create_dir(&watched).unwrap();
@@ -86,38 +89,38 @@
     fs::write(&file, fleet_text(1, 1.0, false)).unwrap();
     let readings = watch::start(watched.clone()).unwrap();
     let mut reloader = EndpointReloader::new(services(), None);
-    assert!(adopted(&mut reloader, &readings, 1));
+    assert!(is_adopted(&mut reloader, &readings, 1));
     fs::write(&file, fleet_text(2, 1.0, false)).unwrap();
-    assert!(adopted(&mut reloader, &readings, 2), "in place");
+    assert!(is_adopted(&mut reloader, &readings, 2), "written in place");
     fs::write(watched.join(".a.next"), fleet_text(3, 1.0, false)).unwrap();
     fs::rename(watched.join(".a.next"), &file).unwrap();
-    assert!(adopted(&mut reloader, &readings, 3), "written beside and renamed");
+    assert!(is_adopted(&mut reloader, &readings, 3), "written to another file and renamed");
     fs::remove_file(&file).unwrap();
     std::thread::sleep(Duration::from_millis(20));
     fs::write(&file, fleet_text(4, 1.0, false)).unwrap();
-    assert!(adopted(&mut reloader, &readings, 4), "deleted and made again");
+    assert!(is_adopted(&mut reloader, &readings, 4), "file deleted and created again");
     fs::write(&file, fleet_text(5, 1.0, true)).unwrap();
     std::thread::sleep(Duration::from_millis(20));
     fs::write(&file, fleet_text(5, 1.0, false)).unwrap();
-    assert!(adopted(&mut reloader, &readings, 5), "half written and finished later");
+    assert!(is_adopted(&mut reloader, &readings, 5), "partly written and completed later");
     fs::remove_dir_all(&watched).unwrap();
     std::thread::sleep(Duration::from_millis(150));
     fs::create_dir(&watched).unwrap();
     fs::write(&file, fleet_text(6, 1.0, false)).unwrap();
-    assert!(adopted(&mut reloader, &readings, 6), "the folder deleted and made again");
+    assert!(is_adopted(&mut reloader, &readings, 6), "folder deleted and created again");
     let other = folder.join("other");
     fs::create_dir(&other).unwrap();
     fs::write(other.join("a.textproto"), fleet_text(7, 1.0, false)).unwrap();
     fs::rename(&watched, folder.join("former")).unwrap();
     std::os::unix::fs::symlink(&other, &watched).unwrap();
-    assert!(adopted(&mut reloader, &readings, 7), "a link in place of the folder");
+    assert!(is_adopted(&mut reloader, &readings, 7), "folder replaced by a symbolic link");
     for generation in 8..60 {
         fs::write(&file, fleet_text(generation, 1.0, generation % 3 == 0)).unwrap();
     }
-    assert!(adopted(&mut reloader, &readings, 59), "a burst, one in three broken");
-    // The clock steps back between two writes: times of files are not looked at.
+    assert!(is_adopted(&mut reloader, &readings, 59), "burst of writes, one in three truncated");
+    // A modification time in the past, as after a clock step, does not prevent adoption.
     fs::write(&file, fleet_text(60, 1.0, false)).unwrap();
     let old = fs::File::options().write(true).open(&file).unwrap();
     old.set_modified(std::time::SystemTime::UNIX_EPOCH + Duration::from_secs(9)).unwrap();
-    assert!(adopted(&mut reloader, &readings, 60));
+    assert!(is_adopted(&mut reloader, &readings, 60));
 }
--- a/crates/ochrelead-discovery/tests/server_table.rs
+++ b/crates/ochrelead-discovery/tests/server_table.rs
@@ -1,4 +1,4 @@
-//! Who prevails where the list, a server's own report and the persisted state disagree.
+//! The state of a server after changes of the list, its own reports and the restoration of persisted reports.
 
 mod common;
 
@@ -12,13 +12,13 @@
     EndpointState::Ready { started: started.map(moment) }
 }
 
-#[test_case(&[RestartMethod::Graceful], &[EndpointState::Draining]; "drains")]
-#[test_case(&[RestartMethod::Forced, RestartMethod::Graceful], &[EndpointState::Gone]; "a drain told late does not bring it back")]
-#[test_case(&[RestartMethod::Graceful, RestartMethod::CancelGraceful], &[EndpointState::Draining, ready(None)]; "back from a drain")]
-#[test_case(&[RestartMethod::Forced, RestartMethod::CancelGraceful], &[EndpointState::Gone]; "gone is not back without a start")]
-#[test_case(&[RestartMethod::Forced, RestartMethod::Restart], &[EndpointState::Gone, ready(Some(7))]; "started anew")]
+#[test_case(&[RestartMethod::Graceful], &[EndpointState::Draining]; "graceful")]
+#[test_case(&[RestartMethod::Forced, RestartMethod::Graceful], &[EndpointState::Gone]; "graceful after forced is ignored")]
+#[test_case(&[RestartMethod::Graceful, RestartMethod::CancelGraceful], &[EndpointState::Draining, ready(None)]; "cancel-graceful ends a drain")]
+#[test_case(&[RestartMethod::Forced, RestartMethod::CancelGraceful], &[EndpointState::Gone]; "cancel-graceful after forced is ignored")]
+#[test_case(&[RestartMethod::Forced, RestartMethod::Restart], &[EndpointState::Gone, ready(Some(7))]; "restart after forced")]
 #[test_case(&[RestartMethod::Disconnected], &[]; "disconnected changes nothing")]
-fn a_servers_own_word(methods: &[RestartMethod], states: &[EndpointState]) {
+fn reported_restart_methods_set_the_state(methods: &[RestartMethod], states: &[EndpointState]) {
     let mut table = ServerTable::default();
     table.replace_list(&[endpoint("s0", 1)], moment(0));
     let server = table.find_by_name("S0").unwrap();
@@ -30,21 +30,21 @@
     assert_eq!(reached, states);
 }
 
-/// A list, what the server then reports, and the list that comes after it.
-#[test_case(|_| (), None, |_| (), ready(None); "nothing new")]
-#[test_case(|_| (), None, |p| p.draining = true, EndpointState::Draining; "the list drains it")]
-#[test_case(|p| p.draining = true, Some(RestartMethod::Restart), |p| p.draining = true, EndpointState::Draining; "a start does not undo the list's drain")]
-#[test_case(|_| (), Some(RestartMethod::Graceful), |_| (), EndpointState::Draining; "the same list does not undo its own drain")]
-#[test_case(|_| (), Some(RestartMethod::Forced), |p| p.weight = 2.0, EndpointState::Gone; "nor does a new weight")]
-#[test_case(|p| p.draining = true, Some(RestartMethod::Graceful), |_| (), ready(None); "taken back by the operator")]
-#[test_case(|_| (), Some(RestartMethod::Forced), |p| p.address.set_port(99), ready(Some(50)); "moved: another process")]
-#[test_case(|_| (), Some(RestartMethod::Restart), |p| p.started = Some(moment(1)), ready(Some(7)); "an older start is no news")]
-#[test_case(|_| (), None, |p| p.started = Some(moment(40)), ready(Some(40)); "a later start")]
-fn who_wins(
-    first: fn(&mut ServerEndpoint),
+/// Arguments: the first list, a report of the server after it, the second list, and the resulting state.
+#[test_case(|_| (), None, |_| (), ready(None); "no change")]
+#[test_case(|_| (), None, |server| server.draining = true, EndpointState::Draining; "drained by the list")]
+#[test_case(|server| server.draining = true, Some(RestartMethod::Restart), |server| server.draining = true, EndpointState::Draining; "restart does not end a drain by the list")]
+#[test_case(|_| (), Some(RestartMethod::Graceful), |_| (), EndpointState::Draining; "unchanged list does not end a reported drain")]
+#[test_case(|_| (), Some(RestartMethod::Forced), |server| server.weight = 2.0, EndpointState::Gone; "new weight does not bring back a server that is gone")]
+#[test_case(|server| server.draining = true, Some(RestartMethod::Graceful), |_| (), ready(None); "drain ended by the list")]
+#[test_case(|_| (), Some(RestartMethod::Forced), |server| server.address.set_port(99), ready(Some(50)); "new address means a new process")]
+#[test_case(|_| (), Some(RestartMethod::Restart), |server| server.started = Some(moment(1)), ready(Some(7)); "older start in the list is ignored")]
+#[test_case(|_| (), None, |server| server.started = Some(moment(40)), ready(Some(40)); "later start in the list")]
+fn list_change_after_a_report_sets_the_state(
+    first_change: fn(&mut ServerEndpoint),
     reported: Option<RestartMethod>,
-    then: fn(&mut ServerEndpoint),
-    state: EndpointState,
+    second_change: fn(&mut ServerEndpoint),
+    expected: EndpointState,
 ) {
     let mut table = ServerTable::default();
     let listed = |change: fn(&mut ServerEndpoint)| {
@@ -52,17 +52,17 @@
         change(&mut endpoint);
         endpoint
     };
-    table.replace_list(&[listed(first)], moment(0));
+    table.replace_list(&[listed(first_change)], moment(0));
     let server = table.find_by_name("s0").unwrap();
     if let Some(method) = reported {
         table.handle_restart(server, method, moment(7));
     }
-    assert_eq!(table.replace_list(&[listed(then)], moment(50))[0].state, state);
+    assert_eq!(table.replace_list(&[listed(second_change)], moment(50))[0].state, expected);
     assert_eq!(table.status().len(), 1);
 }
 
 #[test]
-fn a_new_server_of_a_running_fleet_is_taken_for_a_fresh_one() {
+fn server_added_or_moved_in_a_running_fleet_counts_as_just_started() {
     let mut table = ServerTable::default();
     table.replace_list(&[endpoint("s0", 1), endpoint("s1", 2)], moment(0));
     let updates = table.replace_list(&[endpoint("s1", 9), endpoint("s2", 2)], moment(50));
@@ -71,19 +71,23 @@
     assert_eq!(
         table.find_by_address(endpoint("", 9).address),
         table.find_by_name("s1"),
-        "moved, with its index"
+        "a moved server keeps its index"
+    );
+    assert_eq!(
+        table.find_by_address(endpoint("", 2).address),
+        table.find_by_name("s2"),
+        "the address of a moved server maps to the server now listed there"
     );
-    assert_eq!(table.find_by_address(endpoint("", 2).address), table.find_by_name("s2"), "taken over");
     assert_eq!(
         table.find_by_address(endpoint("", 1).address),
         table.find_by_name("s0"),
-        "its late answers are still known"
+        "the address of a removed server still maps to it"
     );
     assert_eq!(table.listed_servers().len(), 2);
 }
 
 #[test]
-fn servers_that_swap_addresses_are_processes_that_were_running() {
+fn servers_that_swap_addresses_swap_their_process_starts() {
     let mut table = ServerTable::default();
     table.replace_list(
         &[endpoint("s0", 1), ServerEndpoint { started: Some(moment(3)), ..endpoint("s1", 2) }],
@@ -95,17 +99,17 @@
 }
 
 #[test]
-fn a_drain_undone_and_done_again_within_a_tenth_of_a_second() {
+fn drain_ended_and_repeated_within_100_ms_is_followed() {
     let mut table = ServerTable::default();
-    let course = [(0, false), (10, true), (50, false), (90, true)];
-    let states = course.map(|(ms, draining)| {
+    let lists = [(0, false), (10, true), (50, false), (90, true)];
+    let states = lists.map(|(ms, draining)| {
         table.replace_list(&[ServerEndpoint { draining, ..endpoint("s0", 1) }], moment(ms))[0].state
     });
     assert_eq!(states, [ready(None), EndpointState::Draining, ready(None), EndpointState::Draining]);
 }
 
 #[test]
-fn what_was_kept_counts_for_the_same_process_only() {
+fn persisted_report_is_restored_only_at_the_same_address() {
     let mut table = ServerTable::default();
     table.replace_list(&[endpoint("s0", 1), endpoint("s1", 2)], moment(0));
     let persisted = |name, port, self_report| ListedServer {
--- a/crates/ochrelead-discovery/tests/store.rs
+++ b/crates/ochrelead-discovery/tests/store.rs
@@ -1,4 +1,4 @@
-//! What is stored, and what a kill at any step leaves of it.
+//! Saving and loading of endpoints, also after a crash at any step of a save.
 
 mod common;
 
@@ -30,43 +30,44 @@
 }
 
 #[test]
-fn what_is_kept_is_read_again_and_any_flipped_byte_is_found() {
+fn encoded_endpoints_round_trip_and_any_flipped_bit_or_newer_version_is_rejected() {
     let text = endpoints(5).encode();
     assert_eq!(PersistedEndpoints::decode("kept", &text), Ok(endpoints(5)));
     for index in 0..text.len() {
         let mut bytes = text.clone().into_bytes();
         bytes[index] ^= 1;
-        let read = PersistedEndpoints::decode("kept", &String::from_utf8_lossy(&bytes));
-        assert!(read.is_err(), "byte {index}");
+        let decoded = PersistedEndpoints::decode("kept", &String::from_utf8_lossy(&bytes));
+        assert!(decoded.is_err(), "byte {index}");
     }
     let newer = text.replacen("kept 1", "kept 2", 1);
     let error = PersistedEndpoints::decode("kept", &newer).unwrap_err();
     assert!(matches!(error, RestoreError::UnknownHeader(_)), "{error:?}");
-    assert!(error.to_string().contains("no file of this kind and version"), "{error}");
+    assert!(error.to_string().contains("unknown kind or version: header is 'ochrelead kept 2"), "{error}");
 }
 
-/// A disk whose process is killed after some steps; a write that is cut leaves a torn file.
-struct KilledDisk {
+/// An in-memory disk that fails after a number of steps, as a crash would. A write that fails leaves a torn file.
+struct CrashingDisk {
     files: BTreeMap<String, Vec<u8>>,
     steps_left: u32,
     rng: Pcg64Mcg,
 }
 
-impl KilledDisk {
+impl CrashingDisk {
     fn step(&mut self) -> io::Result<()> {
-        self.steps_left = self.steps_left.checked_sub(1).ok_or_else(|| io::Error::other("killed"))?;
+        self.steps_left =
+            self.steps_left.checked_sub(1).ok_or_else(|| io::Error::other("simulated crash"))?;
         Ok(())
     }
 }
 
-impl Disk for KilledDisk {
+impl Disk for CrashingDisk {
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         Ok(self.files.get(name).cloned())
     }
 
     fn write(&mut self, name: &str, contents: &[u8], _: Durability) -> io::Result<()> {
-        let torn = self.rng.random_range(0..contents.len());
-        self.files.insert(name.to_owned(), contents[..torn].to_owned());
+        let torn_length = self.rng.random_range(0..contents.len());
+        self.files.insert(name.to_owned(), contents[..torn_length].to_owned());
         self.step()?;
         self.files.insert(name.to_owned(), contents.to_owned());
         Ok(())
@@ -85,26 +86,29 @@
 }
 
 #[test]
-fn killed_at_any_step_two_hundred_times_something_whole_is_left() {
+fn old_or_new_endpoints_are_loaded_after_each_of_two_hundred_interrupted_saves() {
     let mut disk =
-        KilledDisk { files: BTreeMap::new(), steps_left: u32::MAX, rng: Pcg64Mcg::seed_from_u64(4) };
+        CrashingDisk { files: BTreeMap::new(), steps_left: u32::MAX, rng: Pcg64Mcg::seed_from_u64(4) };
     store::save(&mut disk, &endpoints(1)).unwrap();
-    let mut saved = 1;
+    let mut previous = 1;
     for generation in 2..202 {
         disk.steps_left = disk.rng.random_range(0..5);
-        let done = store::save(&mut disk, &endpoints(generation)).is_ok();
+        let was_saved = store::save(&mut disk, &endpoints(generation)).is_ok();
         let loaded = store::load(&disk).unwrap();
-        let read = loaded.endpoints.expect("something whole").files[0].generation;
-        assert!(read == saved || read == generation, "{read} after {saved}");
-        assert!(!done || read == generation, "what was saved is there");
-        saved = read;
+        let loaded_generation = loaded.endpoints.expect("endpoints can be loaded").files[0].generation;
+        assert!(
+            loaded_generation == previous || loaded_generation == generation,
+            "{loaded_generation} after {previous}"
+        );
+        assert!(!was_saved || loaded_generation == generation, "a successful save is loaded");
+        previous = loaded_generation;
     }
 }
 
 #[test]
-fn a_torn_present_file_is_passed_over_with_a_line_and_does_not_displace_the_former() {
+fn corrupt_current_file_is_reported_and_does_not_replace_the_previous_one() {
     let mut disk =
-        KilledDisk { files: BTreeMap::new(), steps_left: u32::MAX, rng: Pcg64Mcg::seed_from_u64(4) };
+        CrashingDisk { files: BTreeMap::new(), steps_left: u32::MAX, rng: Pcg64Mcg::seed_from_u64(4) };
     store::save(&mut disk, &endpoints(1)).unwrap();
     store::save(&mut disk, &endpoints(2)).unwrap();
     disk.files.insert("kept".to_owned(), b"foreign".to_vec());
@@ -116,7 +120,7 @@
 }
 
 #[test]
-fn a_folder_of_the_file_system_keeps_and_forgets_nothing() {
+fn state_folder_loads_the_latest_complete_save() {
     let path = empty_folder("kept");
     let mut disk = StateFolder::open(&path).unwrap();
     assert_eq!(store::load(&disk).unwrap(), LoadedEndpoints { endpoints: None, rejected: vec![] });
--- a/crates/ochrelead-discovery/tests/stored_bytes.rs
+++ b/crates/ochrelead-discovery/tests/stored_bytes.rs
@@ -1,4 +1,5 @@
-//! A state folder and the counters' text, as written by an earlier program: read, and written again byte for byte.
+//! Compatibility with earlier versions: a stored state folder, status and metrics text are read, and written again byte
+//! for byte.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -36,12 +37,13 @@
     self_reports.into_iter().enumerate().map(server).collect()
 }
 
-fn state(generation: u64) -> PersistedEndpoints {
+fn persisted_endpoints(generation: u64) -> PersistedEndpoints {
     let file = FileGeneration { name: "fleet.d/a.textproto".to_owned(), generation };
     PersistedEndpoints { files: vec![file], servers: servers() }
 }
 
-fn assert_stored(folder: &Path, name: &str) {
+/// Asserts that a file in `folder` equals the fixture of the same name.
+fn assert_equals_fixture(folder: &Path, name: &str) {
     let written = fs::read(folder.join(name)).unwrap();
     let stored = fixtures().join(name);
     let (written, stored) = (String::from_utf8(written).unwrap(), fs::read_to_string(stored).unwrap());
@@ -49,27 +51,27 @@
 }
 
 #[test]
-fn state_folder_is_written_as_it_was_stored() {
+fn state_folder_is_written_as_by_an_earlier_version() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("stored_state");
     let _ = fs::remove_dir_all(&path);
     let mut folder = StateFolder::open(&path).unwrap();
-    store::save(&mut folder, &state(12)).unwrap();
-    store::save(&mut folder, &state(13)).unwrap();
-    assert_stored(&path, "kept");
-    assert_stored(&path, "kept.former");
+    store::save(&mut folder, &persisted_endpoints(12)).unwrap();
+    store::save(&mut folder, &persisted_endpoints(13)).unwrap();
+    assert_equals_fixture(&path, "kept");
+    assert_equals_fixture(&path, "kept.former");
     assert!(!path.join("kept.next").exists());
 }
 
 #[test]
-fn stored_state_folder_is_read() {
+fn state_folder_of_an_earlier_version_is_loaded() {
     let loaded = store::load(&StateFolder::open(&fixtures()).unwrap()).unwrap();
-    assert_eq!(loaded, LoadedEndpoints { endpoints: Some(state(13)), rejected: Vec::new() });
-    let former = fs::read_to_string(fixtures().join("kept.former")).unwrap();
-    assert_eq!(PersistedEndpoints::decode("kept.former", &former), Ok(state(12)));
+    assert_eq!(loaded, LoadedEndpoints { endpoints: Some(persisted_endpoints(13)), rejected: Vec::new() });
+    let previous = fs::read_to_string(fixtures().join("kept.former")).unwrap();
+    assert_eq!(PersistedEndpoints::decode("kept.former", &previous), Ok(persisted_endpoints(12)));
 }
 
 #[test]
-fn status_and_counters_are_the_stored_text() {
+fn status_and_metrics_text_equal_those_of_an_earlier_version() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("stored_text");
     fs::create_dir_all(&path).unwrap();
     let mut table = ServerTable::default();
@@ -78,14 +80,14 @@
     table.restore_self_reports(&servers());
     table.replace_list(&endpoints[1..], Moment::from_micros(1_700_000_001_000_000));
     fs::write(path.join("status.txt"), table.status().join("\n") + "\n").unwrap();
-    assert_stored(&path, "status.txt");
+    assert_equals_fixture(&path, "status.txt");
     let counters = Counters {
         readings: 9,
         adoptions: 4,
         changes: [("added", 3), ("moved", 2)].into(),
         refusals: [("torn", 1)].into(),
     };
-    // Lines of one family come in any order.
+    // The order of the lines of one metric family is not defined.
     let sorted = |text: &str| {
         let mut lines: Vec<String> = text.lines().map(str::to_owned).collect();
         lines.sort();
