--- a/crates/ochrelead-verify/src/zones.rs
+++ b/crates/ochrelead-verify/src/zones.rs
@@ -1,11 +1,15 @@
-//! Simulation of whole fleets whose zones fail and return, on a virtual clock. The call controller, the gossip engine and the
-//! zone engine run as they ship; servers and callers are simple models.
+//! Simulation, on a virtual clock, of fleets in which whole zones fail and return. The call controller, the gossip
+//! engine and the zone engine are the production code; servers and callers are simple models.
 //!
-//! - [`scenario`]: the size of a fleet, its load, and the faults and deliberate mutations of a run.
-//! - [`outcome`]: what a run has shown: violations, and what callers got.
-//! - `world`: the event loop; `calls`, `network` and `faults` handle its events, `traffic` draws the callers' sessions.
-//! - `events`: what happens. `front`, `server`: the parties. `mutation`: messages that are changed on their way.
-//! - `monitor`: checks the invariants ten times per second and measures drains and recoveries.
+//! - [`scenario`]: fleet size, load, faults and the deliberate mutation of a run.
+//! - [`outcome`]: the result of a run: the first violation, and measurements of the service that callers got.
+//! - `world`: the event loop and all state of a run. `calls`, `network` and `faults` handle its events.
+//! - `events`: the types of events. `traffic`: draws the callers' sessions.
+//! - `front`, `server`: the simulated processes. `mutation`: changes messages in transit and shares before they are
+//!   applied.
+//! - `monitor`: checks the invariants ten times per second and measures how zones are drained and recover.
+//!
+//! Times without a unit in their name are in microseconds since the start of the run.
 //!
 //! ```
 //! use ochrelead_verify::zones::scenario::Scenario;
@@ -31,7 +35,7 @@
 use self::outcome::Outcome;
 use self::scenario::Scenario;
 
-/// Runs a scenario to its end.
+/// Simulates a scenario from start to end.
 pub fn simulate(scenario: &Scenario) -> Outcome {
     world::World::new(scenario.clone()).run()
 }
--- a/crates/ochrelead-verify/src/zones/calls.rs
+++ b/crates/ochrelead-verify/src/zones/calls.rs
@@ -1,4 +1,5 @@
-//! Sessions from the caller's attempt to the end of the call.
+//! Handles the events of a call: the caller's attempt, the INVITE and its answer, the end of the call, and the
+//! attempt that may follow a rejection.
 
 use ochrelead_core::index::{CalledNumberIx, ServerIx, ServiceIx, SessionIx};
 use ochrelead_core::time::Span;
@@ -16,20 +17,22 @@
 use super::server::{self, MS, ServerResponse};
 use super::world::World;
 
-/// Delay from a front to a server of its own zone, and of another.
-const LOCAL_DELAY: u64 = 5 * MS;
-const REMOTE_DELAY: u64 = 15 * MS;
+/// One-way delay between a front and a server of the same zone.
+const LOCAL_DELAY_US: u64 = 5 * MS;
+/// One-way delay between a front and a server of another zone.
+const REMOTE_DELAY_US: u64 = 15 * MS;
 /// Probability that a rejected caller attempts again.
 const RETRY_PROBABILITY: f64 = 0.35;
-/// Mean wait before that, in seconds.
-const MEAN_RETRY_DELAY: f64 = 0.8;
-/// Attempts of a caller.
+/// Mean of the exponentially distributed wait before that attempt, in seconds.
+const MEAN_RETRY_DELAY_SECONDS: f64 = 0.8;
+/// A caller gives up after this number of attempts.
 const MAX_ATTEMPTS: u32 = 3;
-/// Answers for a halted front are looked at again after this time.
-const HALTED_RECHECK: u64 = 50 * MS;
+/// An answer to a halted front is delivered again after this interval, until the front runs.
+const HALTED_RECHECK_INTERVAL_US: u64 = 50 * MS;
 
 impl World {
-    /// Lets a front do everything that is due, and schedules its next run.
+    /// Runs a front's engines at the current time, applies their decisions, sends their datagrams, and schedules
+    /// the next run. A halted front does nothing.
     pub(super) fn run_front(&mut self, front: u32) {
         let now = moment(self.now);
         let state = &mut self.fronts[front as usize];
@@ -72,6 +75,7 @@
         }
     }
 
+    /// Schedules a front's next run for `at`, unless an earlier run is already scheduled.
     fn schedule_front(&mut self, front: u32, at: u64) {
         let state = &mut self.fronts[front as usize];
         if state.next_run_at <= self.now || at < state.next_run_at {
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Hands shares that have changed to the controller, as the node does.
+    /// Passes the zones' shares to the controller if they have changed, as the node does.
     fn apply_shares(&mut self, front: u32) {
         let (now, mutation) = (moment(self.now), self.scenario.mutation);
         let state = &mut self.fronts[front as usize];
@@ -130,7 +134,8 @@
         }
     }
 
-    /// Sends an INVITE for a session that is still active; it times out with the session's deadline, or earlier.
+    /// Sends an INVITE if its session is still active. It times out at `timeout` or at the session's deadline,
+    /// whichever is earlier.
     fn send_invite(&mut self, invite: Invite, timeout: Option<u64>) {
         self.invites = invite.id;
         let Invite { id, front, session, server } = invite;
@@ -152,20 +157,24 @@
         self.events.push(self.now + self.delay(front, server), Event::InviteArrives(invite));
     }
 
+    /// The one-way delay between a front and a server.
     fn delay(&self, front: u32, server: u32) -> u64 {
         let is_local = front % self.scenario.zones == self.servers[server as usize].zone;
-        if is_local { LOCAL_DELAY } else { REMOTE_DELAY }
+        if is_local { LOCAL_DELAY_US } else { REMOTE_DELAY_US }
     }
 
-    /// A rejected caller attempts again, with some probability, after at least `min_delay`.
+    /// With [`RETRY_PROBABILITY`], schedules another attempt of a caller that was rejected, `min_delay` from now or
+    /// later.
     fn maybe_retry(&mut self, request: usize, min_delay: u64) {
         if self.requests[request].attempts < MAX_ATTEMPTS && self.rng.random_bool(RETRY_PROBABILITY) {
-            let delay_seconds = exponential(1.0 / MEAN_RETRY_DELAY).sample(&mut self.rng);
+            let delay_seconds = exponential(1.0 / MEAN_RETRY_DELAY_SECONDS).sample(&mut self.rng);
             let at = self.now + min_delay + (delay_seconds * 1e6) as u64;
             self.events.push(at, Event::CallerAttempts { request });
         }
     }
 
+    /// A caller requests its session from a front. If the front is down or halted, the caller may try it again
+    /// later.
     pub(super) fn on_attempt(&mut self, request: usize) {
         let now = self.now;
         let session_request = &mut self.requests[request];
@@ -176,7 +185,7 @@
             return self.maybe_retry(request, 0);
         }
         let session = state.allocate_session();
-        let deadline = now + server::CALL_DEADLINE;
+        let deadline = now + server::CALL_DEADLINE_US;
         state.calls.insert(session, ActiveCall { request, invite: 0, is_established: false, deadline });
         let call_request = CallRequest {
             service: ServiceIx::new(session_request.service),
@@ -191,6 +200,7 @@
         self.run_front(front);
     }
 
+    /// An INVITE arrives at a server, unless a fault separates it from the front.
     pub(super) fn on_invite(&mut self, invite: Invite) {
         let Invite { front, server, .. } = invite;
         if !self.reaches_server(front, server) {
@@ -217,18 +227,19 @@
 
     pub(super) fn on_answer(&mut self, invite: Invite, incarnation: u32, answer: Answer) {
         let Invite { id, front, session, server } = invite;
-        // What a server had accepted is gone with its incarnation, and so are its answers.
+        // A server that stops loses the INVITEs that it had accepted, so their answers are never sent.
         if self.servers[server as usize].incarnation != incarnation || !self.reaches_server(front, server) {
             return;
         }
         if self.fronts[front as usize].is_halted {
             let event = Event::AnswerArrives { invite, incarnation, answer };
-            return self.events.push(self.now + HALTED_RECHECK, event);
+            return self.events.push(self.now + HALTED_RECHECK_INTERVAL_US, event);
         }
         self.observe(front, Observation::InviteAnswered { invite: id });
         let state = &mut self.fronts[front as usize];
         state.controller.advance_to(moment(self.now));
         match (state.pending_call(session, id), answer) {
+            // The front no longer waits for this INVITE: the server frees the line.
             (None, Answer::Established) => self.servers[server as usize].lines_in_use -= 1,
             (None, _) => {}
             (Some(call), Answer::Established) => {
@@ -246,15 +257,17 @@
         self.run_front(front);
     }
 
+    /// Credits the value of an established call, less if it is late, and schedules the end of the call.
     fn establish(&mut self, invite: Invite, incarnation: u32, request: usize) {
         let request = &mut self.requests[request];
-        let is_late = self.now - request.requested_at > server::POST_DIAL_TARGET;
+        let is_late = self.now - request.requested_at > server::POST_DIAL_TARGET_US;
         request.served_value = request.value() * if is_late { server::LATE_VALUE_SHARE } else { 1.0 };
-        let hold_seconds = exponential(1e6 / server::MEAN_HOLD_TIME as f64).sample(&mut self.rng);
+        let hold_seconds = exponential(1e6 / server::MEAN_HOLD_TIME_US as f64).sample(&mut self.rng);
         let ends_at = self.now + (hold_seconds * 1e6) as u64;
         self.events.push(ends_at, Event::CallEnds { invite, incarnation });
     }
 
+    /// A front cancels an INVITE that is still pending.
     pub(super) fn on_invite_timeout(&mut self, invite: Invite) {
         let Invite { id, front, session, .. } = invite;
         let state = &mut self.fronts[front as usize];
@@ -267,6 +280,7 @@
         self.run_front(front);
     }
 
+    /// An established call ends: the server frees its line, and the front releases the session.
     pub(super) fn on_call_end(&mut self, invite: Invite, incarnation: u32) {
         let Invite { id, front, session, server } = invite;
         let server = &mut self.servers[server as usize];
@@ -281,6 +295,7 @@
         }
     }
 
+    /// Reports the outcome of an INVITE to the front's controller.
     fn end_invite(&mut self, invite: Invite, outcome: InviteOutcome, is_final: bool) {
         let controller = &mut self.fronts[invite.front as usize].controller;
         let (session, server) = (SessionIx::new(invite.session), ServerIx::new(invite.server as usize));
--- a/crates/ochrelead-verify/src/zones/events.rs
+++ b/crates/ochrelead-verify/src/zones/events.rs
@@ -1,13 +1,13 @@
-//! The events of a simulated run.
+//! The types of events in a simulated run.
 
 use std::net::SocketAddr;
 
-/// An INVITE on its way to a server, or pending there.
+/// An INVITE that a front has sent for one of its sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Invite {
     pub(super) id: u64,
     pub(super) front: u32,
-    /// The front's session that it is for.
+    /// The front's index of the session.
     pub(super) session: usize,
     pub(super) server: u32,
 }
@@ -22,7 +22,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Event {
-    /// A front runs, if it is still scheduled for this time.
+    /// A front is due to run. The event is ignored if the front was rescheduled.
     FrontDue {
         front: u32,
     },
@@ -31,12 +31,12 @@
         to: u32,
         bytes: Vec<u8>,
     },
-    /// A caller attempts a session, for the first time or again.
+    /// A caller requests its session, for the first time or again.
     CallerAttempts {
         request: usize,
     },
     InviteArrives(Invite),
-    /// The answer of a server's incarnation arrives at the front.
+    /// A server's answer arrives at the front; `incarnation` is that of the server when it accepted the INVITE.
     AnswerArrives {
         invite: Invite,
         incarnation: u32,
@@ -47,9 +47,9 @@
         invite: Invite,
         incarnation: u32,
     },
-    /// All servers report their lines.
+    /// Each server reports its free lines to the fronts.
     LinesReported,
-    /// The invariants are checked.
+    /// The monitor checks the invariants.
     CheckDue,
     FaultBegins {
         index: usize,
@@ -57,7 +57,7 @@
     FaultEnds {
         index: usize,
     },
-    /// A front learns that a server has restarted.
+    /// The endpoint list with a server's restart reaches a front.
     RestartListed {
         front: u32,
         server: u32,
--- a/crates/ochrelead-verify/src/zones/faults.rs
+++ b/crates/ochrelead-verify/src/zones/faults.rs
@@ -1,4 +1,4 @@
-//! Begins and ends the faults of a scenario.
+//! Applies the faults of a scenario when they begin, and reverts them when they end.
 
 use rand::RngExt;
 
@@ -8,17 +8,18 @@
 use super::server::{MS, Server};
 use super::world::World;
 
-/// How long it takes until a front that was killed runs again.
-const MIN_RESTART_TIME: u64 = 200 * MS;
-const MAX_RESTART_TIME: u64 = 1_500 * MS;
-/// How long it takes until the restart of a server is listed.
-const MIN_LISTING_DELAY: u64 = 200 * MS;
-const MAX_LISTING_DELAY: u64 = 2_500 * MS;
-/// Fronts learn of a listing within this time.
-const LISTING_SPREAD: u64 = 300 * MS;
+/// Range of the time for which a killed front is down.
+const MIN_FRONT_DOWN_TIME_US: u64 = 200 * MS;
+const MAX_FRONT_DOWN_TIME_US: u64 = 1_500 * MS;
+/// Range of the time from a server's restart until the endpoint list shows it.
+const MIN_LISTING_DELAY_US: u64 = 200 * MS;
+const MAX_LISTING_DELAY_US: u64 = 2_500 * MS;
+/// Each front receives a new endpoint list within this time.
+const LISTING_SPREAD_US: u64 = 300 * MS;
 
 impl World {
-    /// The observers; without coordination as many other fronts, so that both kinds of run lose the same.
+    /// The fronts that are observers. Without coordination there are none: the first front of each zone takes their
+    /// place, so that runs with and without coordination lose equally many fronts.
     fn observers(&self) -> Vec<u32> {
         if !self.scenario.is_coordinated {
             return (0..self.scenario.zones).collect();
@@ -30,6 +31,7 @@
         self.servers.iter_mut().filter(move |server| server.zone == zone)
     }
 
+    /// Applies a fault. The network and traffic models look up partitions, message loss and surges themselves.
     pub(super) fn begin_fault(&mut self, index: usize) {
         self.active_faults[index] = true;
         match self.scenario.faults[index].fault {
@@ -65,6 +67,7 @@
         }
     }
 
+    /// Reverts a fault. Killed and restarted fronts come back by their own events.
     pub(super) fn end_fault(&mut self, index: usize) {
         self.active_faults[index] = false;
         match self.scenario.faults[index].fault {
@@ -78,20 +81,21 @@
         }
     }
 
-    /// Kills a front; it starts again after a while, without its calls.
+    /// Kills a front, which loses its calls, and schedules its restart.
     fn restart_front(&mut self, front: u32) {
-        // The shares that it announced as an observer since the last check are still followed.
+        // Other fronts still apply the shares that it announced as an observer since the last check.
         self.monitor.record_observer(self.now, &self.fronts[front as usize]);
         let seed: u64 = self.rng.random();
-        let restart_at = self.now + self.rng.random_range(MIN_RESTART_TIME..MAX_RESTART_TIME);
+        let restart_at = self.now + self.rng.random_range(MIN_FRONT_DOWN_TIME_US..MAX_FRONT_DOWN_TIME_US);
         let mut restarted = Front::new(&self.scenario, &self.servers, front, seed, restart_at);
         restarted.is_halted = true;
-        // Sessions of the former incarnation keep their indices, so that late events find none.
+        // Session indices of the former incarnation are not reused, so that its late events match no new session.
         restarted.session_count = self.fronts[front as usize].session_count;
         self.fronts[front as usize] = restarted;
         self.events.push(restart_at, Event::FrontRestarted { front });
     }
 
+    /// Resumes halted fronts, apart from those that were killed and have not restarted yet.
     fn resume_halted_fronts(&mut self) {
         for front in 0..self.scenario.fronts {
             let state = &mut self.fronts[front as usize];
@@ -102,20 +106,22 @@
         }
     }
 
+    /// Sets the slow-down of the servers of one zone, or of all servers.
     fn set_slow_factor(&mut self, zone: Option<u32>, factor: f64) {
         let servers = self.servers.iter_mut().filter(|server| zone.is_none_or(|zone| server.zone == zone));
         servers.for_each(|server| server.slow_factor = factor);
     }
 
+    /// Starts all servers of a zone cold, and schedules when each front learns of each restart.
     fn restart_zone(&mut self, zone: u32) {
         for server in 0..self.scenario.servers {
             if self.servers[server as usize].zone != zone {
                 continue;
             }
             self.servers[server as usize].start(self.now);
-            let listed_at = self.now + self.rng.random_range(MIN_LISTING_DELAY..MAX_LISTING_DELAY);
+            let listed_at = self.now + self.rng.random_range(MIN_LISTING_DELAY_US..MAX_LISTING_DELAY_US);
             for front in 0..self.scenario.fronts {
-                let spread = self.rng.random_range(0..LISTING_SPREAD);
+                let spread = self.rng.random_range(0..LISTING_SPREAD_US);
                 self.events.push(listed_at + spread, Event::RestartListed { front, server });
             }
         }
--- a/crates/ochrelead-verify/src/zones/front.rs
+++ b/crates/ochrelead-verify/src/zones/front.rs
@@ -1,4 +1,4 @@
-//! One simulated front: its call controller, its coordination with other fronts, and the calls that it handles.
+//! A simulated front: its call controller, its coordination with other fronts, and its active calls.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -15,9 +15,9 @@
 use super::scenario::Scenario;
 use super::server::{self, MS, Server};
 
-/// Stands for all fronts in a broadcast address.
+/// The host part of the broadcast address.
 pub(super) const ALL_FRONTS: u32 = 0x00ff_ffff;
-/// The network 10.0.0.0/8, with the front's number in the other bits.
+/// The network 10.0.0.0/8; the front's number is the host part.
 const NETWORK: u32 = 0x0a00_0000;
 const PORT: u16 = 7946;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// The engines' time for a time of the simulation: an hour after their epoch.
+/// Converts simulated time to the engines' time. The run starts one hour after the engines' epoch.
 pub(super) fn moment(now: u64) -> Moment {
     Moment::from_micros(3_600_000 * MS + now)
 }
@@ -41,23 +41,24 @@
     ServerKey::from_name(&format!("s-{server:08x}"))
 }
 
-/// A zone that is not in full use, and the share that it takes.
+/// A zone that is not in full use, and the share of its usual traffic that it receives. Violations print it with
+/// `Debug`, so its names stay.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ReducedShare {
     pub(super) zone: ZoneId,
     pub(super) share: f64,
 }
 
-/// The share of a zone, if it is not in full use.
+/// The share of a zone; `None` if the zone is in full use.
 pub(super) fn reduced_share(shares: &[ReducedShare], zone: ZoneId) -> Option<f64> {
     shares.iter().find(|reduced| reduced.zone == zone).map(|reduced| reduced.share)
 }
 
-/// A session that a front handles.
+/// A session at a front, pending or established.
 pub(super) struct ActiveCall {
-    /// The caller's session, over all its attempts.
+    /// Index of the caller's [`SessionRequest`](super::traffic::SessionRequest).
     pub(super) request: usize,
-    /// The INVITE that is pending, or that established the call; 0 before the first.
+    /// Identifier of the pending INVITE or of the one that established the call; 0 before the first INVITE.
     pub(super) invite: u64,
     pub(super) is_established: bool,
     pub(super) deadline: u64,
@@ -67,18 +68,21 @@
     pub(super) zone: u32,
     pub(super) controller: Controller,
     pub(super) coordination: Option<FleetCoordination>,
+    /// Start time of the process; in the future while a killed front is down.
     pub(super) up_since: u64,
+    /// Whether the process does not run: halted by a fault, or killed and not restarted yet.
     pub(super) is_halted: bool,
+    /// Active calls by session index.
     pub(super) calls: BTreeMap<usize, ActiveCall>,
-    /// When the front is scheduled to run next; 0 while it runs.
+    /// Time of the next scheduled run; 0 once that run has begun.
     pub(super) next_run_at: u64,
-    /// Datagrams that have arrived and were not read.
+    /// Datagrams in the receive buffer of the socket.
     pub(super) unread: Vec<ReceivedDatagram>,
-    /// The shares that the controller was given last.
+    /// The reduced shares that were last applied to the controller.
     pub(super) shares: Vec<ReducedShare>,
-    /// All zones have been in full use at some time since its start.
+    /// Whether all zones were in full use after any change of shares since the start.
     pub(super) has_had_full_use: bool,
-    /// Number of sessions that were ever active at once.
+    /// Number of session indices allocated so far, free ones included.
     pub(super) session_count: usize,
     free_sessions: Vec<usize>,
 }
@@ -89,7 +93,7 @@
 }
 
 impl Front {
-    /// A front that starts at `start`, with the servers as they are now.
+    /// Creates a front that starts at `start`, with the present state of the servers.
     pub(super) fn new(scenario: &Scenario, servers: &[Server], front: u32, seed: u64, start: u64) -> Front {
         let now = moment(start);
         let config = server::controller_config(scenario.fronts, seed);
@@ -130,7 +134,7 @@
         self.zone_engine().is_some_and(ZoneEngine::is_observer)
     }
 
-    /// An index for a new session.
+    /// Returns a free session index.
     pub(super) fn allocate_session(&mut self) -> usize {
         self.free_sessions.pop().unwrap_or_else(|| {
             self.session_count += 1;
@@ -138,19 +142,20 @@
         })
     }
 
-    /// Ends a session; its index may be used again.
+    /// Removes a session's call and frees its index.
     pub(super) fn end_call(&mut self, session: usize) -> Option<ActiveCall> {
         let call = self.calls.remove(&session)?;
         self.free_sessions.push(session);
         Some(call)
     }
 
-    /// The session's call, if this INVITE is still pending.
+    /// Returns the session's call if the INVITE is still pending.
     pub(super) fn pending_call(&mut self, session: usize, invite: u64) -> Option<&mut ActiveCall> {
         self.calls.get_mut(&session).filter(|call| call.invite == invite && !call.is_established)
     }
 }
 
+/// The entry of a server in the endpoint list.
 pub(super) fn endpoint_update(index: usize, server: &Server) -> EndpointUpdate {
     EndpointUpdate {
         server: ServerIx::new(index),
--- a/crates/ochrelead-verify/src/zones/monitor.rs
+++ b/crates/ochrelead-verify/src/zones/monitor.rs
@@ -1,5 +1,5 @@
-//! Checks the invariants of a fleet ten times per second, from what its parties do and what the simulation knows; and measures
-//! how zones are drained and recover.
+//! Checks the invariants of a fleet ten times per second, and measures how zones are drained and recover. The
+//! checks compare what fronts do with the state of servers and faults, which only the simulation knows.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,20 +11,20 @@
 use super::scenario::{Fault, Scenario};
 use super::server::{MS, Server};
 
-/// How long shares may stay in force at a front that no longer hears their observer.
-const MAX_SHARE_AGE: u64 = 2_000 * MS;
-/// How long a front may take to follow its observer.
-const MAX_LAG: u64 = 600 * MS;
-/// A front that has just started has heard no observer yet.
-const START_TIME: u64 = 3_000 * MS;
-/// No INVITE goes to a failed zone after this time.
-const MAX_DRAIN_TIME: u64 = 4_000 * MS;
-/// INVITEs that may still go there after it.
+/// A front applies shares for at most this long after it last heard the observer that announced them.
+const MAX_SHARE_AGE_US: u64 = 2_000 * MS;
+/// A front applies a change of its observer's shares within this time.
+const MAX_APPLY_DELAY_US: u64 = 600 * MS;
+/// A front hears its first observer within this time after its start.
+const START_GRACE_US: u64 = 3_000 * MS;
+/// All fronts have drained a failed zone within this time, apart from [`MAX_LATE_INVITES`].
+const MAX_DRAIN_TIME_US: u64 = 4_000 * MS;
+/// Number of INVITEs that the whole fleet may send to the failed zone after [`MAX_DRAIN_TIME_US`].
 const MAX_LATE_INVITES: u64 = 5;
-/// An observer's shares are recorded at least this often.
-const RECORD_INTERVAL: u64 = 100 * MS;
-/// Shares are sampled for the outcome this often.
-const SHARE_SAMPLE_INTERVAL: u64 = 500 * MS;
+/// An observer's shares are recorded when they change, and otherwise at this interval.
+const RECORD_INTERVAL_US: u64 = 100 * MS;
+/// The share of the failed zone is sampled for the outcome at this interval.
+const SHARE_SAMPLE_INTERVAL_US: u64 = 500 * MS;
 
 /// The state of a fleet at the time of a check.
 pub(super) struct Snapshot<'a> {
@@ -35,16 +35,16 @@
     pub(super) active_faults: &'a [bool],
 }
 
-/// An INVITE that a front sends.
+/// An INVITE at the time when a front sends it.
 pub(super) struct SentInvite {
     pub(super) front: u32,
     pub(super) zone: u32,
-    /// The share of that zone at the front, if it is not in full use.
+    /// The zone's share at the front; `None` if the zone is in full use.
     pub(super) share: Option<f64>,
     pub(super) server_is_up: bool,
 }
 
-/// The shares that an observer had in force.
+/// The shares that an observer had in force at a time. Violations print it with `Debug`, so its names stay.
 #[derive(Debug)]
 struct ObservedShares {
     at: u64,
@@ -60,26 +60,28 @@
 }
 
 pub(super) struct Monitor {
-    /// The shares of the observers, by their zone, within the last [`MAX_SHARE_AGE`].
+    /// The shares that observers had in force within the last [`MAX_SHARE_AGE_US`], oldest first, by the observer's
+    /// zone.
     observed: BTreeMap<u32, VecDeque<ObservedShares>>,
     failed_zone: Option<FailedZone>,
-    /// When each front drained the failed zone.
+    /// When each front was first seen with a share of 0 for the failed zone.
     drained_at: Vec<Option<u64>>,
-    /// When each front sent its last INVITE to the failed zone.
+    /// When each front sent its last INVITE to the failed zone before the zone returned.
     last_invite_at: Vec<Option<u64>>,
-    /// When the failed zone was in full use again.
+    /// When the failed zone was first in full use at all fronts after its return.
     full_use_at: Option<u64>,
+    /// INVITEs sent to the failed zone after [`MAX_DRAIN_TIME_US`].
     late_invites: u64,
-    /// Fronts and the messages between them are in order throughout the run.
+    /// Whether no fault of the scenario affects fronts or the datagrams between them.
     is_undisturbed: bool,
-    /// Until when each front may deviate after a fault that concerns it.
+    /// Until when an empty set of shares is not checked at each front, because of a fault that affects the front.
     disturbed_until: Vec<u64>,
 }
 
 impl Monitor {
     pub(super) fn new(scenario: &Scenario) -> Monitor {
         let fronts = scenario.fronts as usize;
-        let disturbs = |fault: Fault| {
+        let affects_fronts = |fault: Fault| {
             !matches!(
                 fault,
                 Fault::ZoneDown { .. }
@@ -95,7 +97,7 @@
             last_invite_at: vec![None; fronts],
             full_use_at: None,
             late_invites: 0,
-            is_undisturbed: !scenario.faults.iter().any(|scheduled| disturbs(scheduled.fault)),
+            is_undisturbed: !scenario.faults.iter().any(|scheduled| affects_fronts(scheduled.fault)),
             disturbed_until: vec![0; fronts],
         }
     }
@@ -110,6 +112,7 @@
         }
     }
 
+    /// Counts INVITEs to servers that are down. Checks that a drained zone is sent none, and a failed zone few.
     pub(super) fn on_invite_sent(&mut self, now: u64, invite: &SentInvite, outcome: &mut Outcome) {
         let SentInvite { front, zone, .. } = *invite;
         if invite.share == Some(0.0) {
@@ -123,7 +126,7 @@
         let failed = self.failed_zone.filter(|failed| failed.zone == zone && failed.returned_at.is_none());
         let Some(FailedZone { failed_at, .. }) = failed else { return };
         self.last_invite_at[front as usize] = Some(now);
-        if self.is_undisturbed && now > failed_at + MAX_DRAIN_TIME {
+        if self.is_undisturbed && now > failed_at + MAX_DRAIN_TIME_US {
             self.late_invites += 1;
             if self.late_invites > MAX_LATE_INVITES {
                 outcome.report_violation(format!(
@@ -133,7 +136,8 @@
         }
     }
 
-    /// A cold server failed under too many INVITEs.
+    /// A cold server failed under overload. Coordinated fronts must prevent that, unless all their datagrams are
+    /// lost.
     pub(super) fn on_cold_failure(
         &mut self,
         now: u64,
@@ -141,14 +145,14 @@
         server: &Server,
         outcome: &mut Outcome,
     ) {
-        let no_message = Fault::MessageLoss { probability: 1.0 };
-        let fronts_act_alone = scenario.faults.iter().any(|scheduled| scheduled.fault == no_message);
-        if scenario.is_coordinated && !fronts_act_alone {
+        let total_loss = Fault::MessageLoss { probability: 1.0 };
+        let has_total_loss = scenario.faults.iter().any(|scheduled| scheduled.fault == total_loss);
+        if scenario.is_coordinated && !has_total_loss {
             outcome.report_violation(format!("a cold server of zone {} failed at {now} us", server.zone));
         }
     }
 
-    /// Checks all fronts.
+    /// Checks the invariants at all fronts, and updates the measurements.
     pub(super) fn check(&mut self, snapshot: &Snapshot<'_>, outcome: &mut Outcome) {
         let now = snapshot.now;
         if !snapshot.scenario.is_coordinated {
@@ -159,7 +163,7 @@
             self.record_observer(now, front);
         }
         for observed in self.observed.values_mut() {
-            while observed.front().is_some_and(|shares| shares.at + MAX_SHARE_AGE < now) {
+            while observed.front().is_some_and(|shares| shares.at + MAX_SHARE_AGE_US < now) {
                 observed.pop_front();
             }
         }
@@ -170,17 +174,18 @@
         self.measure(snapshot, outcome);
     }
 
-    /// Records the shares that a front has in force as an observer, if it is one.
+    /// Records the shares that a front has in force, if it is an observer.
     pub(super) fn record_observer(&mut self, now: u64, front: &Front) {
         let Some(shares) = observer_shares(front, now) else { return };
         let observed = self.observed.entry(front.zone).or_default();
-        if observed.back().is_none_or(|last| last.at + RECORD_INTERVAL <= now || last.shares != shares) {
+        if observed.back().is_none_or(|last| last.at + RECORD_INTERVAL_US <= now || last.shares != shares) {
             observed.push_back(ObservedShares { at: now, shares });
         }
     }
 
+    /// Extends `disturbed_until` at the fronts that an active fault affects.
     fn update_disturbances(&mut self, snapshot: &Snapshot<'_>) {
-        let until = snapshot.now + MAX_SHARE_AGE * 2;
+        let until = snapshot.now + MAX_SHARE_AGE_US * 2;
         let faults = snapshot.scenario.faults.iter().zip(snapshot.active_faults);
         for (scheduled, _) in faults.filter(|(_, is_active)| **is_active) {
             match scheduled.fault {
@@ -194,11 +199,11 @@
         }
     }
 
-    /// The invariant that does not hold at a front, if any.
+    /// Returns a description of the first invariant that is violated at a front.
     fn check_front(&self, snapshot: &Snapshot<'_>, index: usize) -> Option<String> {
         let (now, scenario) = (snapshot.now, snapshot.scenario);
         let front = &snapshot.fronts[index];
-        let is_unsettled = now < front.up_since + START_TIME || now < self.disturbed_until[index];
+        let is_unsettled = now < front.up_since + START_GRACE_US || now < self.disturbed_until[index];
         if front.is_halted || front.shares.is_empty() && is_unsettled {
             return None;
         }
@@ -209,35 +214,39 @@
         if shares.len() >= scenario.zones as usize {
             return Some(format!("front {index} drains all zones"));
         }
-        let unfounded = shares
+        let wrongly_drained = shares
             .iter()
             .find(|reduced| reduced.share == 0.0 && !has_failed(scenario, front.zone, reduced.zone.0));
-        if let Some(unfounded) = unfounded {
-            return Some(format!("front {index} drains zone {}, which is answered", unfounded.zone.0));
+        if let Some(wrongly_drained) = wrongly_drained {
+            return Some(format!("front {index} drains zone {}, which is answered", wrongly_drained.zone.0));
         }
         self.check_shares_are_observed(now, index, front)
     }
 
-    /// The shares at a front must be those that an observer of its zone recently had in force.
+    /// Checks that an observer of the front's zone recently had the front's shares in force.
     fn check_shares_are_observed(&self, now: u64, index: usize, front: &Front) -> Option<String> {
-        let max_age = if front.shares.is_empty() { MAX_LAG } else { MAX_SHARE_AGE };
+        let max_age = if front.shares.is_empty() { MAX_APPLY_DELAY_US } else { MAX_SHARE_AGE_US };
         let observed = self.observed.get(&front.zone)?;
-        // Nothing was in force when the observer was last heard, and nothing is while there is no observer.
+        // A front without reduced shares is correct if its observer's last record has none, or if there is no recent
+        // record.
         if front.shares.is_empty() && observed.back().is_none_or(|last| last.shares.is_empty()) {
             return None;
         }
-        // Until there has been an observer for that long there is nothing to compare with.
-        let is_known =
-            observed.front().is_some_and(|first| first.at + MAX_LAG < now || first.at + max_age <= now);
+        // The comparison needs an observer whose oldest record is old enough for the front to have followed it.
+        let is_comparable = observed
+            .front()
+            .is_some_and(|first| first.at + MAX_APPLY_DELAY_US < now || first.at + max_age <= now);
         let mut recent = observed.iter().filter(|observed| observed.at + max_age >= now);
-        if !is_known || recent.any(|observed| observed.shares == front.shares) {
+        if !is_comparable || recent.any(|observed| observed.shares == front.shares) {
             return None;
         }
-        // Shares that were announced and changed again between two checks are not recorded.
+        // An observer can announce shares and change them again between two checks. The monitor has no record of
+        // these, so a front that has just received verdicts is not checked.
         let verdicts =
             front.zone_engine().and_then(|engine| engine.active_verdicts(moment(now), ZoneId(front.zone)));
-        let just_received = verdicts
-            .is_some_and(|verdicts| verdicts.received_at.micros() + MAX_LAG / 4 > moment(now).micros());
+        let just_received = verdicts.is_some_and(|verdicts| {
+            verdicts.received_at.micros() + MAX_APPLY_DELAY_US / 4 > moment(now).micros()
+        });
         if just_received {
             return None;
         }
@@ -245,6 +254,8 @@
         Some(format!("front {index} has {:?} in force, its observer {last:?}", front.shares))
     }
 
+    /// Notes when each front drained the failed zone and when the zone was in full use again, and samples its
+    /// share.
     fn measure(&mut self, snapshot: &Snapshot<'_>, outcome: &mut Outcome) {
         let now = snapshot.now;
         let Some(failed) = self.failed_zone else { return };
@@ -258,12 +269,12 @@
         if failed.returned_at.is_some() && is_in_full_use {
             self.full_use_at.get_or_insert(now);
         }
-        if now % SHARE_SAMPLE_INTERVAL == 0 {
+        if now % SHARE_SAMPLE_INTERVAL_US == 0 {
             outcome.zone_shares.push(snapshot.fronts.first().map_or(1.0, share));
         }
     }
 
-    /// Completes the outcome at the end of a run.
+    /// Adds the measurements of the failed zone to the outcome, at the end of a run.
     pub(super) fn finish(&self, outcome: &mut Outcome) {
         let Some(failed) = self.failed_zone else { return };
         let mut drain_ms: Vec<u64> =
@@ -281,7 +292,8 @@
     }
 }
 
-/// Whether a scenario has a fault for which fronts of one zone may drain another.
+/// Whether a fault of the scenario allows fronts of `front_zone` to drain `zone`: its failure, or a partition of
+/// the two.
 fn has_failed(scenario: &Scenario, front_zone: u32, zone: u32) -> bool {
     scenario.faults.iter().any(|scheduled| match scheduled.fault {
         Fault::ZoneDown { zone: failed } => failed == zone,
@@ -290,7 +302,8 @@
     })
 }
 
-/// The shares that an observer has in force; `None` for any other front.
+/// The zones that an observer does not have in full use, with their shares; `None` if the front is no observer or
+/// is halted.
 fn observer_shares(front: &Front, now: u64) -> Option<Vec<ReducedShare>> {
     let engine: &ZoneEngine = front.zone_engine().filter(|engine| engine.is_observer())?;
     if front.is_halted {
--- a/crates/ochrelead-verify/src/zones/mutation.rs
+++ b/crates/ochrelead-verify/src/zones/mutation.rs
@@ -1,4 +1,4 @@
-//! Carries out the deliberate mutations of messages and shares.
+//! Applies the deliberate mutations to messages in transit and to shares before a front applies them.
 
 use std::collections::BTreeMap;
 
@@ -15,10 +15,10 @@
 use super::scenario::{Mutation, Scenario};
 use super::server::Server;
 
-/// Added to a sequence number so that an old message counts as the latest.
+/// Added to the sequence number of an old message so that it counts as the latest.
 const SEQUENCE_JUMP: u32 = 1_000_000;
 
-/// Changes a datagram on its way from one front to another, if that is the scenario's mutation.
+/// Changes a datagram from one front to another if the scenario's mutation calls for it.
 pub(super) fn mutate_datagram(
     scenario: &Scenario,
     servers: &[Server],
@@ -46,7 +46,7 @@
     }
 }
 
-/// Gives verdicts a later sequence number, so that old ones are followed again.
+/// Raises the sequence numbers of the verdicts in a datagram, so that fronts follow them again.
 pub(super) fn renew_verdicts(bytes: Vec<u8>, from: u32) -> Vec<u8> {
     rewrite_messages(bytes, from, |message| {
         if let Message::Verdicts { sequence, .. } = message {
@@ -55,7 +55,7 @@
     })
 }
 
-/// Changes the shares that a front is about to apply, if that is the scenario's mutation.
+/// Changes the shares that a front is about to apply if the scenario's mutation calls for it.
 pub(super) fn mutate_shares(
     mutation: Option<Mutation>,
     shares: &mut Vec<ReducedShare>,
@@ -89,6 +89,7 @@
     }
 }
 
+/// Replaces the samples of every server of a zone that has losses by the losses of the whole zone.
 fn report_losses_for_zone(samples: &mut Vec<ServerSample>, servers: &[Server]) {
     let find = |key: ServerKey| (0..servers.len() as u32).find(|server| server_key(*server) == key);
     let mut lost_by_zone: BTreeMap<u32, u32> = BTreeMap::new();
@@ -107,7 +108,8 @@
     samples.sort_unstable_by_key(|sample| sample.server);
 }
 
-/// Changes the zone messages in a datagram.
+/// Applies `change` to all zone messages in a datagram. Datagrams and messages that cannot be decoded stay as they
+/// are.
 fn rewrite_messages(bytes: Vec<u8>, from: u32, change: impl Fn(&mut Message)) -> Vec<u8> {
     let Ok(datagram) = wire::decode(&bytes, from) else { return bytes };
     let mut builder = DatagramBuilder::new(datagram.sender);
--- a/crates/ochrelead-verify/src/zones/network.rs
+++ b/crates/ochrelead-verify/src/zones/network.rs
@@ -1,4 +1,4 @@
-//! Who reaches whom, and datagrams between fronts.
+//! Reachability between fronts and servers, and the delivery of datagrams between fronts.
 
 use std::net::SocketAddr;
 
@@ -12,14 +12,15 @@
 use super::server::MS;
 use super::world::{RecordedDatagram, World};
 
-/// Longest delay of a datagram between fronts.
-const MAX_DATAGRAM_DELAY: u64 = 15 * MS;
-/// Datagrams that a front's socket buffers while it does not read.
-const SOCKET_BUFFER: usize = 4_096;
-/// Datagrams that are recorded for a mutation.
-const MAX_RECORDED: usize = 4_096;
+/// Upper limit of the random delay of a datagram between fronts.
+const MAX_DATAGRAM_DELAY_US: u64 = 15 * MS;
+/// Datagrams that a front's socket buffers while it does not read; further ones are dropped.
+const MAX_BUFFERED_DATAGRAMS: usize = 4_096;
+/// Datagrams that are recorded for [`Mutation::OldVerdictsFollowed`] between two replays.
+const MAX_RECORDED_DATAGRAMS: usize = 4_096;
 
 impl World {
+    /// Whether no active fault separates a front from a server.
     pub(super) fn reaches_server(&self, front: u32, server: u32) -> bool {
         let front_zone = front % self.scenario.zones;
         let server_zone = self.servers[server as usize].zone;
@@ -30,7 +31,7 @@
         })
     }
 
-    /// Whether a datagram between two fronts arrives.
+    /// Whether a datagram between two fronts arrives. Draws the random loss unless a fault separates the fronts.
     fn delivers(&mut self, from_front: u32, to_front: u32) -> bool {
         let (from_zone, to_zone) = (from_front % self.scenario.zones, to_front % self.scenario.zones);
         let mut loss: f64 = 0.0;
@@ -45,7 +46,7 @@
         !self.rng.random_bool(loss)
     }
 
-    /// Hands an observation to a front's coordination.
+    /// Passes an observation to a front's coordination engine, if the run has coordination.
     pub(super) fn observe(&mut self, front: u32, observation: Observation) {
         let now = moment(self.now);
         if let Some(coordination) = &mut self.fronts[front as usize].coordination {
@@ -53,6 +54,7 @@
         }
     }
 
+    /// Sends a datagram to one front, or to all others if the destination is the broadcast address.
     pub(super) fn send_datagram(&mut self, from: u32, destination: SocketAddr, bytes: &[u8]) {
         let destination = front_at(destination);
         let recipients: Vec<u32> = if destination == ALL_FRONTS {
@@ -64,29 +66,30 @@
             self.outcome.datagrams += 1;
             self.outcome.datagram_bytes += bytes.len() as u64;
             if self.delivers(from, to) {
-                let delay = self.rng.random_range(MS..MAX_DATAGRAM_DELAY);
+                let delay = self.rng.random_range(MS..MAX_DATAGRAM_DELAY_US);
                 let event = Event::DatagramArrives { from: address_of(from), to, bytes: bytes.to_vec() };
                 self.events.push(self.now + delay, event);
             }
         }
     }
 
+    /// A datagram arrives in a front's receive buffer, and the front runs.
     pub(super) fn on_datagram(&mut self, from: SocketAddr, to: u32, bytes: Vec<u8>) {
         let bytes = mutation::mutate_datagram(&self.scenario, &self.servers, front_at(from), to, bytes);
         let is_recorded = self.scenario.mutation == Some(Mutation::OldVerdictsFollowed) && to % 2 == 0;
-        if is_recorded && self.recorded_datagrams.len() < MAX_RECORDED {
+        if is_recorded && self.recorded_datagrams.len() < MAX_RECORDED_DATAGRAMS {
             let received = ReceivedDatagram { from, bytes: bytes.clone() };
             self.recorded_datagrams.push(RecordedDatagram { to, received });
         }
         let state = &mut self.fronts[to as usize];
-        if state.unread.len() < SOCKET_BUFFER {
+        if state.unread.len() < MAX_BUFFERED_DATAGRAMS {
             state.unread.push(ReceivedDatagram { from, bytes });
         }
         self.run_front(to);
     }
 }
 
-/// Whether a partition of two zones is between these zones.
+/// Whether a partition between the zones `from` and `to` separates the other two zones.
 fn is_between(from: u32, to: u32, one: u32, other: u32) -> bool {
     (from, to) == (one, other) || (to, from) == (one, other)
 }
--- a/crates/ochrelead-verify/src/zones/scenario.rs
+++ b/crates/ochrelead-verify/src/zones/scenario.rs
@@ -1,34 +1,35 @@
-//! What a simulated run consists of, drawn from a seed or put together by hand.
+//! The input of a simulated run: drawn from a seed, or composed by a test.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A deliberate mistake, made around the engines and never in them. The checks have to find each of them.
+/// A deliberate defect, as in mutation testing, in the surroundings of the engines and never in their code. The
+/// checks must detect each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// INVITEs to other zones are reported as failed at once.
+    /// INVITEs to servers in other zones are reported as failed as soon as they are sent.
     LossReportedEarly,
-    /// Late answers are not reported.
+    /// Reports between fronts omit late answers.
     LateAnswersOmitted,
-    /// The losses at one server are reported for all servers of its zone.
+    /// Losses at one server are reported for every server of its zone.
     LossReportedForZone,
-    /// A dead server is reported to give signs of life.
+    /// Heartbeats are reported for servers that are down.
     DeadServerReportedAlive,
-    /// Verdicts for the fronts of one zone are followed by those of another.
+    /// Fronts follow the verdicts that are meant for the fronts of another zone.
     ForeignVerdictsFollowed,
-    /// An observer's former verdicts are followed again.
+    /// Fronts follow outdated verdicts of an observer again.
     OldVerdictsFollowed,
     /// Verdicts never expire.
     VerdictsNeverExpire,
-    /// Each front draws a share of its own.
+    /// Each front replaces the share of a recovering zone by a random higher share.
     SharesDifferByFront,
-    /// A recovering zone is taken into full use at its first step.
+    /// A zone is put into full use at the first step of its recovery.
     RecoveryInOneStep,
-    /// A share that is lowered during a recovery is not followed.
+    /// Fronts ignore it when a zone's share is lowered during the recovery, other than to 0.
     StepBackIgnored,
-    /// Fronts that restart do not apply shares that were in force before.
+    /// A restarted front applies no reduced shares until all zones have been in full use.
     RestartIgnoresShares,
-    /// Shares are not applied to every second server of a zone.
+    /// A zone's share is applied to every other server of the zone only.
     ShareForSomeServers,
 }
 
@@ -48,97 +49,97 @@
     Mutation::ShareForSomeServers,
 ];
 
-/// What goes wrong in a fleet.
+/// A fault in a fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// All servers of a zone stop, and later start cold.
+    /// All servers of a zone stop. They start cold at the end of the fault.
     ZoneDown {
         /// The zone.
         zone: u32,
     },
-    /// Fronts of each of two zones do not reach servers and fronts of the other.
+    /// The fronts of each of two zones reach neither servers nor fronts of the other zone.
     Partition {
-        /// One zone.
+        /// The first zone.
         from: u32,
-        /// The other.
+        /// The second zone.
         to: u32,
     },
-    /// One front reaches no server and no other front.
+    /// One front reaches neither servers nor other fronts.
     FrontCutOff {
         /// The front.
         front: u32,
     },
-    /// Servers take longer than usual.
+    /// Servers take longer for each set-up.
     SlowServers {
-        /// Their zone; all servers if there is none.
+        /// The zone of the servers; `None` for all servers.
         zone: Option<u32>,
-        /// Multiple of their usual time.
+        /// Duration of a set-up, as a multiple of the usual one.
         factor: f64,
     },
-    /// Some servers of a zone answer nothing.
+    /// Some servers of a zone answer no INVITE.
     SilentServers {
         /// The zone.
         zone: u32,
-        /// How many of its servers.
+        /// Number of silent servers.
         servers: u32,
     },
-    /// More sessions than usual.
+    /// The offered load rises.
     Surge {
-        /// Multiple of the usual rate.
+        /// Rate of sessions, as a multiple of the usual one.
         factor: f64,
     },
     /// Datagrams between fronts are lost.
     MessageLoss {
-        /// The part of them that is lost.
+        /// Probability that a datagram is lost.
         probability: f64,
     },
-    /// The observers of all zones are killed.
+    /// The observers of all zones are killed, and restart shortly after.
     ObserversKilled,
-    /// The observers of all zones are halted.
+    /// The processes of the observers of all zones are halted until the end of the fault.
     ObserversHalted,
-    /// A part of the fronts restarts.
+    /// Some of the fronts are killed, and restart shortly after.
     FrontsRestarted {
-        /// Probability of a restart, for each front.
+        /// Probability that a front is affected.
         probability: f64,
     },
 }
 
-/// A fault and when it happens.
+/// A fault and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// When it begins, in milliseconds of the run.
+    /// Start of the fault, in milliseconds since the start of the run.
     pub start_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// Duration of the fault, in milliseconds.
     pub duration_ms: u64,
-    /// What happens.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// One simulated run.
+/// The input of one simulated run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Seed of all random draws.
     pub seed: u64,
     /// Number of fronts.
     pub fronts: u32,
-    /// Number of zones; fronts and servers are in them by turns.
+    /// Number of zones. Fronts and servers are assigned to zones by number, modulo the number of zones.
     pub zones: u32,
     /// Number of servers.
     pub servers: u32,
-    /// Offered load, as a part of the capacity of all servers.
+    /// Offered load, as a fraction of the capacity of all servers.
     pub load: f64,
     /// Length of the run, in seconds.
     pub seconds: u64,
-    /// Whether fronts act together on failing zones.
+    /// Whether fronts coordinate how they drain and refill zones.
     pub is_coordinated: bool,
     /// The faults of the run.
     pub faults: Vec<ScheduledFault>,
-    /// The deliberate mistake of the run.
+    /// The deliberate defect of the run, if any.
     pub mutation: Option<Mutation>,
 }
 
 impl Scenario {
-    /// A run without faults.
+    /// A run of 30 s in four zones without faults.
     pub fn quiet(seed: u64, fronts: u32, servers: u32) -> Scenario {
         Scenario {
             seed,
@@ -153,8 +154,8 @@
         }
     }
 
-    /// A run with faults that must not drain any zone: slow servers everywhere, overload, a few silent servers, one front cut
-    /// off, and others.
+    /// A run with random faults for which no zone may be drained, for example slow servers in all zones, overload,
+    /// a few silent servers in one zone, or one isolated front.
     pub fn harmless(seed: u64, fronts: u32, servers: u32) -> Scenario {
         let mut scenario = Scenario::quiet(seed, fronts, servers);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -179,7 +180,7 @@
         scenario
     }
 
-    /// A run in which a zone fails and comes back, in some with another fault.
+    /// A run in which one zone fails and returns; with probability 0.4 a second fault is added.
     pub fn failing(seed: u64, fronts: u32, servers: u32) -> Scenario {
         let mut scenario = Scenario::quiet(seed, fronts, servers);
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x00d1_5712);
@@ -206,7 +207,7 @@
         scenario
     }
 
-    /// Whether any fault is a reason to drain a zone.
+    /// Whether any of the faults allows fronts to drain a zone.
     pub fn may_drain(&self) -> bool {
         self.faults.iter().any(|scheduled| match scheduled.fault {
             Fault::ZoneDown { .. } | Fault::Partition { .. } => true,
--- a/crates/ochrelead-verify/src/zones/traffic.rs
+++ b/crates/ochrelead-verify/src/zones/traffic.rs
@@ -1,4 +1,4 @@
-//! The callers' sessions over a run.
+//! Draws the callers' sessions for a whole run.
 
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -7,24 +7,27 @@
 use super::scenario::{Fault, Scenario, ScheduledFault};
 use super::server;
 
-/// Spread of the load over fronts: standard deviation of the logarithm of their weights.
+/// Standard deviation of the logarithm of the fronts' weights. Load is spread over fronts by these log-normal
+/// weights.
 const FRONT_WEIGHT_SIGMA: f64 = 0.7;
-/// Part of the sessions whose destination is in the zone of their front.
+/// Fraction of the sessions whose destination is moved to the zone of their front.
 const LOCAL_SHARE: f64 = 0.3;
-/// Part of the sessions that are for the second, more valuable service.
+/// Fraction of the sessions that are for the second service, which has the higher value.
 const VALUABLE_SHARE: f64 = 0.23;
-/// Called numbers that are told apart.
+/// Number of distinct called numbers.
 const CALLED_NUMBERS: u32 = 1_000_000;
 
-/// A caller's session, over all its attempts.
+/// A session that a caller requests, over all attempts.
 pub(super) struct SessionRequest {
     pub(super) front: u32,
     pub(super) service: usize,
     pub(super) destination: u32,
     pub(super) called_number: u32,
+    /// Time of the first attempt.
     pub(super) requested_at: u64,
+    /// Attempts made so far.
     pub(super) attempts: u32,
-    /// The value that was served.
+    /// The value credited for the established call; 0 without one.
     pub(super) served_value: f64,
 }
 
@@ -40,7 +43,7 @@
     factor: f64,
 }
 
-/// Draws all sessions of a run in order of time, unevenly spread over fronts and evenly over destinations.
+/// Draws all sessions of a run in order of time. They are spread unevenly over fronts and evenly over destinations.
 pub(super) fn draw_requests(scenario: &Scenario, rng: &mut Pcg64Mcg) -> Vec<SessionRequest> {
     let by_front = cumulative_front_weights(scenario.fronts, rng);
     let by_server: Vec<f64> = (1..=scenario.servers).map(f64::from).collect();
@@ -72,6 +75,7 @@
     requests
 }
 
+/// Draws the cumulative weights of the fronts.
 fn cumulative_front_weights(fronts: u32, rng: &mut Pcg64Mcg) -> Vec<f64> {
     let weight = LogNormal::new(0.0, FRONT_WEIGHT_SIGMA).expect("the deviation is finite");
     let mut sum = 0.0;
@@ -83,7 +87,7 @@
         .collect()
 }
 
-/// Draws an index with the given cumulative weights.
+/// Draws an index with a probability proportional to its weight.
 fn pick(cumulative: &[f64], rng: &mut Pcg64Mcg) -> u32 {
     let total = *cumulative.last().expect("a scenario has fronts and servers");
     let drawn = rng.random_range(0.0..total);
--- a/crates/ochrelead-verify/src/zones/world.rs
+++ b/crates/ochrelead-verify/src/zones/world.rs
@@ -15,31 +15,32 @@
 use super::traffic::{self, SessionRequest};
 use crate::event_queue::EventQueue;
 
-const CHECK_INTERVAL: u64 = 100 * MS;
-const FIRST_LINE_REPORT: u64 = 500 * MS;
-const LINE_REPORT_INTERVAL: u64 = 1_000 * MS;
-/// Old verdicts are sent again this often, where that is the mutation.
-const REPLAY_INTERVAL: u64 = 3_000 * MS;
-const HALF_SECOND: u64 = 500 * MS;
+const CHECK_INTERVAL_US: u64 = 100 * MS;
+const FIRST_LINE_REPORT_US: u64 = 500 * MS;
+const LINE_REPORT_INTERVAL_US: u64 = 1_000 * MS;
+/// [`Mutation::OldVerdictsFollowed`] delivers the recorded datagrams again at this interval.
+const REPLAY_INTERVAL_US: u64 = 3_000 * MS;
+const HALF_SECOND_US: u64 = 500 * MS;
 
-/// A datagram that a mutation sends again later.
+/// A datagram that [`Mutation::OldVerdictsFollowed`] delivers again later.
 pub(super) struct RecordedDatagram {
     pub(super) to: u32,
     pub(super) received: ReceivedDatagram,
 }
 
-/// All parties of a run and the events to come.
+/// The state of a simulated run: fronts, servers, callers' sessions and future events.
 pub(super) struct World {
     pub(super) scenario: Scenario,
+    /// The present simulated time, in microseconds since the start of the run.
     pub(super) now: u64,
     pub(super) events: EventQueue<Event>,
     pub(super) fronts: Vec<Front>,
     pub(super) servers: Vec<Server>,
     pub(super) requests: Vec<SessionRequest>,
     pub(super) rng: Pcg64Mcg,
-    /// Which of the scenario's faults are active.
+    /// Whether each of the scenario's faults is active.
     pub(super) active_faults: Vec<bool>,
-    /// INVITEs sent so far; the last one's identifier.
+    /// Number of INVITEs sent so far, which is the identifier of the last one.
     pub(super) invites: u64,
     pub(super) monitor: Monitor,
     pub(super) outcome: Outcome,
@@ -86,11 +87,11 @@
             let end_ms = scheduled.start_ms + scheduled.duration_ms;
             self.events.push(end_ms * MS, Event::FaultEnds { index });
         }
-        self.events.push(FIRST_LINE_REPORT, Event::LinesReported);
-        self.events.push(CHECK_INTERVAL, Event::CheckDue);
+        self.events.push(FIRST_LINE_REPORT_US, Event::LinesReported);
+        self.events.push(CHECK_INTERVAL_US, Event::CheckDue);
     }
 
-    /// Runs the scenario to its end.
+    /// Handles all events up to the end of the scenario.
     pub(super) fn run(mut self) -> Outcome {
         let end = self.scenario.seconds * 1_000 * MS;
         while let Some((at, event)) = self.events.pop_until(end) {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// A front was scheduled to run; it may have been scheduled anew since.
+    /// Runs a front, unless it was rescheduled after this event was created.
     fn on_front_due(&mut self, front: u32) {
         let state = &mut self.fronts[front as usize];
         if state.next_run_at == self.now {
@@ -137,9 +138,9 @@
         faults.filter(|(_, is_active)| **is_active).map(|(scheduled, _)| scheduled.fault)
     }
 
-    /// Each server reports its lines to all fronts that it reaches.
+    /// Each running server reports its free lines to all fronts that reach it, which is also its heartbeat.
     fn report_lines(&mut self) {
-        self.events.push(self.now + LINE_REPORT_INTERVAL, Event::LinesReported);
+        self.events.push(self.now + LINE_REPORT_INTERVAL_US, Event::LinesReported);
         for server in 0..self.scenario.servers {
             let state = &self.servers[server as usize];
             let is_running = state.is_up && state.started_at.is_none_or(|started| started <= self.now);
@@ -160,8 +161,9 @@
         }
     }
 
+    /// Checks the invariants. [`Mutation::OldVerdictsFollowed`] also delivers recorded datagrams again.
     fn check(&mut self) {
-        self.events.push(self.now + CHECK_INTERVAL, Event::CheckDue);
+        self.events.push(self.now + CHECK_INTERVAL_US, Event::CheckDue);
         let snapshot = Snapshot {
             now: self.now,
             scenario: &self.scenario,
@@ -170,7 +172,7 @@
         };
         self.monitor.check(&snapshot, &mut self.outcome);
         let replays = self.scenario.mutation == Some(Mutation::OldVerdictsFollowed);
-        if replays && self.now % REPLAY_INTERVAL == 0 {
+        if replays && self.now % REPLAY_INTERVAL_US == 0 {
             for RecordedDatagram { to, received } in std::mem::take(&mut self.recorded_datagrams) {
                 let bytes = mutation::renew_verdicts(received.bytes, front_at(received.from));
                 let renewed = ReceivedDatagram { from: received.from, bytes };
@@ -179,13 +181,15 @@
         }
     }
 
+    /// Sums up the values of the sessions and completes the outcome.
     fn finish(mut self) -> Outcome {
-        // Sessions too late in the run to be served within it do not count.
+        // Sessions requested less than the post-dial target before the end are not counted: the run may end before
+        // an answer that is still in time.
         let end = self.scenario.seconds * 1_000 * MS;
         let counted: Vec<&SessionRequest> = self
             .requests
             .iter()
-            .filter(|request| request.requested_at + server::POST_DIAL_TARGET < end)
+            .filter(|request| request.requested_at + server::POST_DIAL_TARGET_US < end)
             .collect();
         let offered_value: f64 = counted.iter().map(|request| request.value()).sum();
         let served_value: f64 = counted.iter().map(|request| request.served_value).sum();
@@ -199,9 +203,10 @@
     }
 }
 
+/// The served share of the sessions that were first requested within a half second of the run.
 fn served_in_half_second(requests: &[&SessionRequest], half_second: u64) -> ServedShare {
     let in_half_second =
-        || requests.iter().filter(move |request| request.requested_at / HALF_SECOND == half_second);
+        || requests.iter().filter(move |request| request.requested_at / HALF_SECOND_US == half_second);
     let offered: f64 = in_half_second().map(|request| request.value()).sum();
     let served: f64 = in_half_second().map(|request| request.served_value).sum();
     let share = if offered > 0.0 { served / offered } else { 1.0 };
