--- a/crates/ochrelead-verify/src/simulation.rs
+++ b/crates/ochrelead-verify/src/simulation.rs
@@ -1,14 +1,19 @@
-//! Seeded simulation: fleets of lease engines on a virtual clock, with faults drawn from a seed.
+//! Simulation of fleets of lease engines on a virtual clock, with faults drawn from a seed.
 //!
-//! Messages are lost, delayed, duplicated, and cut off one way or both; fronts stall, crash, restart one after the
-//! other, and their clocks run apart. After every event two invariants are checked: no two fronts may act on one task,
-//! each by its own clock; and a resource never accepts an act of a lease that began before that of the last one.
+//! Messages are lost, delayed and duplicated, and links are cut in one or both directions. Fronts stall, crash and
+//! restart, one by one or many at once, and their clocks drift. A holder acts on the resource of its task; an act
+//! carries the fencing token of the lease. Two invariants are checked after every event that can violate them:
 //!
-//! - [`Scenario`]: what is simulated; [`Report`]: what came of it.
-//! - `world`: the fronts, and the events that happen to them.
-//! - `holders`: who holds leases, and acts under them.
+//! - at most one front may act on a task, by the clocks of the fronts;
+//! - a resource accepts no act of a former holder after an act under a later lease.
+//!
+//! The modules:
+//!
+//! - [`Scenario`]: the input of a run; [`Report`]: its result.
+//! - `world`: the fronts and the event loop.
+//! - `holders`: the acts of lease holders, and the checks of the invariants.
 //! - `network`: the links between fronts.
-//! - `faults`: which faults a seed draws, and when.
+//! - `faults`: the schedule of faults that a seed draws.
 
 mod faults;
 mod holders;
@@ -20,47 +25,47 @@
 use crate::mutation::Mutation;
 use crate::violation::Violation;
 
-/// A millisecond of virtual time, which is counted in microseconds.
+/// One millisecond in microseconds, the unit of virtual time.
 const MILLISECOND: u64 = 1_000;
 const SECOND: u64 = 1_000 * MILLISECOND;
 
-/// What is simulated.
+/// The input of a simulation.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// The seed of all random draws.
     pub seed: u64,
-    /// How many fronts there are.
+    /// Number of fronts.
     pub fronts: u32,
-    /// How many tasks they are candidates for.
+    /// Number of tasks, each with its own lease.
     pub tasks: u64,
-    /// How long it lasts, in seconds.
+    /// Simulated duration, in seconds.
     pub duration_secs: u64,
-    /// Without faults, to see what it costs and how soon a lease is granted again.
+    /// Runs without faults, to measure the message rate and the times without a holder.
     pub without_faults: bool,
-    /// What is wrong on purpose.
+    /// The deliberate defect of the run, if any.
     pub mutation: Option<Mutation>,
 }
 
-/// What does not hold, and when that showed.
+/// A violation of an invariant, and when it was detected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// What does not hold.
+    /// The violation.
     pub problem: Problem,
-    /// The virtual time since the start, in ms.
+    /// Virtual time since the start of the run, in milliseconds.
     pub at_ms: u64,
 }
 
-/// What does not hold.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Problem {
-    /// Two fronts may act on a task.
+    /// Two fronts may act on one task at the same time.
     ConcurrentHolders {
         /// The task.
         task: u64,
-        /// The fronts.
+        /// The numbers of the two fronts.
         fronts: [u32; 2],
     },
-    /// A resource has accepted an act that it must not.
+    /// A resource accepted an act that it must refuse.
     Resource(Violation),
 }
 
@@ -76,28 +81,28 @@
     }
 }
 
-/// What came of a scenario.
+/// The result of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// The first thing that does not hold.
+    /// The first violation, if any. It ends the run.
     pub finding: Option<Finding>,
-    /// How many events happened.
+    /// Number of events handled.
     pub events: u64,
-    /// How many messages fronts sent.
+    /// Number of messages sent by fronts, not counting duplicates.
     pub messages: u64,
-    /// How many acts reached a resource.
+    /// Number of acts that reached a resource.
     pub acts: u64,
-    /// How many of them were refused.
+    /// Number of acts that a resource refused because of their token.
     pub refused_acts: u64,
-    /// How many leases began.
+    /// Number of leases that began.
     pub leases: u64,
-    /// How long a task was without a holder, for each time, in ms.
+    /// Length of each completed period in which a task had no holder, in milliseconds.
     pub gaps_ms: Vec<u64>,
-    /// The share of time in which tasks were held.
+    /// Fraction of the time in which tasks had a holder, averaged over the tasks.
     pub held_share: f64,
 }
 
-/// Runs a scenario.
+/// Simulates a scenario until its end or the first violation.
 pub fn run(scenario: Scenario) -> Report {
     world::World::new(scenario).run()
 }
--- a/crates/ochrelead-verify/src/simulation/holders.rs
+++ b/crates/ochrelead-verify/src/simulation/holders.rs
@@ -1,4 +1,4 @@
-//! Who holds leases, and acts under them.
+//! The acts of lease holders, and the checks of the invariants.
 
 use ochrelead_lease::lease::Permit;
 use ochrelead_lease::{MemberId, TaskId};
@@ -9,23 +9,26 @@
 use crate::mutation::Mutation;
 use crate::resource::{Act, ActOutcome};
 
-/// A holder acts so often.
+/// Interval between the acts of a holder.
 const ACT_INTERVAL_US: u64 = 100 * MILLISECOND;
-/// An act that is late takes up to so much longer.
+/// Upper limit of the additional random delay of a late act.
 const MAX_ACT_DELAY_MS: u64 = 8_000;
 
 impl World {
+    /// The front's permit to act on a task, by the front's clock, if it holds the lease.
     fn permit(&self, front: u32, task: u64) -> Option<Permit> {
         let engine = self.fronts[front as usize].engine.as_ref()?;
         engine.permit(self.clock(front), TaskId(task))
     }
 
+    /// Records a violation, unless an earlier one is recorded.
     pub(super) fn report(&mut self, problem: Problem) {
         let at_ms = self.now_us / MILLISECOND;
         self.report.finding.get_or_insert(Finding { problem, at_ms });
     }
 
-    /// Notes which leases a front holds after an event, and checks that no other front may act too.
+    /// Updates the record of the leases that a front holds, and checks that no other front holds one of them too.
+    /// Runs after each event at the front.
     pub(super) fn check_holder(&mut self, front: u32) {
         for task in 0..self.scenario.tasks {
             let is_holder = self.permit(front, task).is_some();
@@ -47,6 +50,7 @@
         }
     }
 
+    /// Counts a new lease, ends the task's time without a holder, and schedules the first act.
     fn on_lease_begun(&mut self, front: u32, task: u64) {
         self.report.leases += 1;
         let lease = self.report.leases;
@@ -59,7 +63,8 @@
         self.schedule(self.now_us, Event::Act { holder: MemberId { front, incarnation }, task });
     }
 
-    /// A holder acts. Between its permit and its act it may stall, and the act may be late.
+    /// A holder acts on its task if its permit is valid and it is not paused, and schedules its next act. The act
+    /// may arrive after the permit has expired.
     pub(super) fn act(&mut self, holder: MemberId, task: u64) {
         let front = holder.front;
         let state = &self.fronts[front as usize];
@@ -77,6 +82,7 @@
         self.schedule(self.now_us + ACT_INTERVAL_US, Event::Act { holder, task });
     }
 
+    /// Sends an act to its resource. 5 % of the acts are late if the scenario has faults.
     fn send_act(&mut self, act: Act, task: u64, permit: Permit) {
         let mut delay_us = self.rng.random_range(0..=self.conditions.max_delay_us);
         if !self.scenario.without_faults && self.rng.random_bool(0.05) {
@@ -90,13 +96,14 @@
             if let Some(engine) = &mut self.fronts[front as usize].engine {
                 engine.leave(now);
             }
-            // It acts until its permit ends, whatever it has released.
+            // The mutation: an act arrives at the end of the permit, although the lease is already released.
             let remaining_us = permit.expires_at.since(now).micros();
             self.schedule(self.now_us + remaining_us, Event::ActArrives { act, task });
         }
     }
 
-    /// An act reaches its resource.
+    /// An act arrives at its resource. A holder whose act is refused learns the highest token, unless it was
+    /// restarted or is paused.
     pub(super) fn act_arrives(&mut self, act: Act, task: u64) {
         self.report.acts += 1;
         let acts_after_release = self.scenario.mutation == Some(Mutation::ActsAfterRelease);
--- a/crates/ochrelead-verify/src/simulation/network.rs
+++ b/crates/ochrelead-verify/src/simulation/network.rs
@@ -1,43 +1,44 @@
-//! The links between fronts: loss, delay, duplicates, and partitions.
+//! The links between fronts: loss, delay, duplication and partitions.
 
 use rand::{Rng, RngExt};
 
 use super::{MILLISECOND, Scenario};
 
-/// A message that is very late takes up to so long.
+/// Upper limit of the additional random delay of a very late message.
 const MAX_VERY_LATE_MS: u64 = 60_000;
 
-/// How a network treats messages.
+/// Loss, delay and duplication of messages, the same for all links of a run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Conditions {
-    /// The share of messages that are lost.
+    /// Probability that a copy of a message is lost.
     pub(super) loss: f64,
-    /// The longest that a message usually takes, in microseconds.
+    /// Maximum delay of a message that is not very late, in microseconds.
     pub(super) max_delay_us: u64,
-    /// The share of messages that arrive twice.
-    duplicates: f64,
-    /// The share of messages that are very late.
+    /// Probability that a message is sent twice.
+    duplication: f64,
+    /// Probability that a copy of a message is very late.
     very_late: f64,
 }
 
 impl Conditions {
+    /// Draws the conditions of a run; without faults only a short delay remains.
     pub(super) fn draw(rng: &mut impl Rng, scenario: &Scenario) -> Conditions {
         if scenario.without_faults {
-            return Conditions { loss: 0.0, max_delay_us: 5 * MILLISECOND, duplicates: 0.0, very_late: 0.0 };
+            return Conditions { loss: 0.0, max_delay_us: 5 * MILLISECOND, duplication: 0.0, very_late: 0.0 };
         }
         let loss = rng.random_range(0.0..0.4);
         let max_delay_us = rng.random_range(1..300) * MILLISECOND;
-        let duplicates = rng.random_range(0.0..0.2);
+        let duplication = rng.random_range(0.0..0.2);
         let very_late = if rng.random_bool(0.5) { 0.02 } else { 0.0 };
-        Conditions { loss, max_delay_us, duplicates, very_late }
+        Conditions { loss, max_delay_us, duplication, very_late }
     }
 
-    /// How many copies of a message are sent.
+    /// Draws the number of copies of a message: 1 or 2.
     pub(super) fn draw_copies(&self, rng: &mut impl Rng) -> u32 {
-        1 + u32::from(rng.random_bool(self.duplicates))
+        1 + u32::from(rng.random_bool(self.duplication))
     }
 
-    /// How long a copy takes, in microseconds.
+    /// Draws the delay of a copy of a message, in microseconds.
     pub(super) fn draw_delay(&self, rng: &mut impl Rng) -> u64 {
         let delay = rng.random_range(0..=self.max_delay_us);
         if rng.random_bool(self.very_late) {
@@ -48,24 +49,25 @@
     }
 }
 
-/// Which links are cut.
+/// A set of links that are cut.
 #[derive(Clone, Debug)]
 pub(super) enum Partition {
-    /// From the fronts of one side to the others, or both ways.
-    Sides { is_on_side: Vec<bool>, both_ways: bool },
-    /// One front's links.
-    Front { front: u32, hears: bool, is_heard: bool },
+    /// The links from the fronts of the first side to the others, or the links in both directions.
+    Sides { is_on_first_side: Vec<bool>, both_ways: bool },
+    /// The incoming links of one front unless it can receive, and its outgoing links unless it can send.
+    Front { front: u32, can_receive: bool, can_send: bool },
 }
 
 impl Partition {
+    /// Whether the link from one front to another is cut.
     pub(super) fn cuts(&self, from: u32, to: u32) -> bool {
         match self {
-            Partition::Sides { is_on_side, both_ways } => {
-                let (from, to) = (is_on_side[from as usize], is_on_side[to as usize]);
+            Partition::Sides { is_on_first_side, both_ways } => {
+                let (from, to) = (is_on_first_side[from as usize], is_on_first_side[to as usize]);
                 from != to && (*both_ways || from)
             }
-            Partition::Front { front, hears, is_heard } => {
-                (to == *front && !hears) || (from == *front && !is_heard)
+            Partition::Front { front, can_receive, can_send } => {
+                (to == *front && !can_receive) || (from == *front && !can_send)
             }
         }
     }
--- a/crates/ochrelead-verify/src/simulation/world.rs
+++ b/crates/ochrelead-verify/src/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The fronts of a simulation, and the events that happen to them.
+//! The state of a simulated fleet, and the event loop.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,27 +18,27 @@
 use crate::mutation::{Delivery, FaultyProxy, Mutation};
 use crate::resource::{Act, Resource};
 
-/// How many fronts are candidates for each task.
+/// Number of candidates for each task.
 const CANDIDATES: usize = 6;
-/// How long leases last.
+/// Requested duration of a lease.
 const LEASE_DURATION: Span = Span::from_secs(4);
-/// Clocks that are far off; leases are configured for it then.
+/// Maximum drift of clocks in half of the runs. The lease engines are configured with the same limit.
 const LARGE_CLOCK_DRIFT_PPM: u32 = 200_000;
-/// What clocks show at the start.
+/// Reading of every clock at the start of the run.
 const CLOCK_START_US: u64 = 3_600 * SECOND;
-/// What a paused front's socket holds; more messages are lost.
+/// Messages that the socket of a paused front buffers; further ones are lost.
 const MAX_INBOX: usize = 256;
 
-/// What happens.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
-    /// A front's engine is due; outdated where the front is due at another time by now.
+    /// A front's engine is due to run at `at_us`. The event is ignored if the front was rescheduled.
     Wake { front: u32, at_us: u64 },
-    /// A message arrives.
+    /// A message arrives at a front.
     Arrival { recipient: u32, delivery: Delivery },
-    /// A holder acts.
+    /// A holder is due to act on a task.
     Act { holder: MemberId, task: u64 },
-    /// An act reaches its resource.
+    /// An act arrives at the resource of a task.
     ActArrives { act: Act, task: u64 },
     /// A front's process ends.
     Crash(u32),
@@ -46,43 +46,45 @@
     Start(u32),
     /// A front's process stalls.
     Pause(u32),
-    /// It runs again.
+    /// A paused front's process runs again.
     Resume(u32),
-    /// A front leaves service, and restarts.
+    /// A front leaves service, ends and restarts.
     Leave(u32),
-    /// Links are cut, by the number of the partition.
+    /// A partition begins, by its index in [`World::partitions`].
     Partition(usize),
-    /// No links are cut.
+    /// All links are restored.
     Heal,
-    /// A front's clock is set back.
+    /// A front's clock is set back by 3 s.
     SetClockBack(u32),
 }
 
-/// What a voter has on disk, and since when.
+/// A voter's state on disk, and when it was written.
 #[derive(Clone, Debug)]
 struct StoredState {
-    written_us: u64,
+    written_at_us: u64,
     state: PersistedState,
 }
 
 #[derive(Debug)]
 pub(super) struct Front {
-    /// `None` while its process does not run.
+    /// The lease engine; `None` while the process does not run.
     pub(super) engine: Option<Engine>,
+    /// Number of starts of the process.
     pub(super) incarnation: u32,
-    /// How fast its clock runs, in parts per million.
+    /// Deviation of the clock's rate from virtual time, in parts per million.
     drift_ppm: i64,
-    /// How far its clock was set back.
+    /// Total time by which the clock was set back, in microseconds.
     set_back_us: u64,
     pub(super) is_paused: bool,
-    /// What arrived while it was paused.
+    /// Messages that arrived while the process was paused.
     inbox: VecDeque<Delivery>,
-    /// When it is due.
-    wakes_us: u64,
+    /// Virtual time of the next scheduled run; `u64::MAX` if there is none.
+    next_wake_us: u64,
+    /// Round of the last vote request that the front sent.
     last_round: u64,
-    /// Where fronts have disks.
+    /// The persisted state of a voter; `None` if none was written or the run has no disks.
     disk: Option<StoredState>,
-    /// The leases that it holds, by task, numbered in the order in which they began.
+    /// The leases that the front holds, by task. Leases are numbered in the order in which they began.
     pub(super) leases: BTreeMap<u64, u64>,
 }
 
@@ -95,7 +97,7 @@
             set_back_us: 0,
             is_paused: false,
             inbox: VecDeque::new(),
-            wakes_us: u64::MAX,
+            next_wake_us: u64::MAX,
             last_round: 0,
             disk: None,
             leases: BTreeMap::new(),
@@ -113,20 +115,22 @@
     queue: EventQueue<Event>,
     pub(super) fronts: Vec<Front>,
     pub(super) resources: BTreeMap<u64, Resource>,
-    /// All partitions of the scenario, and the one in force.
+    /// All partitions of the run.
     pub(super) partitions: Vec<Partition>,
+    /// Index of the partition that is in force.
     partition: Option<usize>,
     pub(super) conditions: Conditions,
-    /// Voters persist their promises.
+    /// Whether voters persist their promises.
     has_disks: bool,
     pub(super) report: Report,
-    /// Since when each task is without a holder; `None` while it has one.
+    /// Virtual time since which each task has no holder; `None` while it has one.
     pub(super) without_holder_since: BTreeMap<u64, Option<u64>>,
-    /// The time that tasks were held, summed over all of them.
+    /// Time with a holder, summed over all tasks, in microseconds.
     held_us: u64,
 }
 
-/// The candidates for a task, in order: by a hash of both, so that tasks are spread over the fronts.
+/// The candidates for a task in the order of their rank. The order is by a hash of task and front, which spreads
+/// the tasks over the fronts.
 pub(super) fn ranked_candidates(task: u64, fronts: u32) -> Vec<u32> {
     let hash = |front: &u32| {
         let mut rng = Pcg64Mcg::seed_from_u64(task << 32 | u64::from(*front));
@@ -138,7 +142,8 @@
     order
 }
 
-/// A clock's drift: as slow or as fast as allowed, or anything between.
+/// Draws a clock's drift: the lower limit, the upper limit, or a uniform value between them, with equal
+/// probability.
 fn draw_drift(rng: &mut Pcg64Mcg, max_ppm: u32) -> i64 {
     let max = i64::from(max_ppm);
     match rng.random_range(0..3) {
@@ -178,7 +183,7 @@
             held_us: 0,
             scenario,
         };
-        // At first nobody has promised anything.
+        // An empty persisted state: no voter has promised anything, so none has to abstain at the first start.
         for front in 0..world.scenario.fronts {
             world.start(front, Some(&PersistedState::default()));
         }
@@ -188,17 +193,19 @@
         world
     }
 
+    /// Schedules an event at a virtual time.
     pub(super) fn schedule(&mut self, at_us: u64, event: Event) {
         self.queue.push(at_us, event);
     }
 
-    /// The time by a front's own clock.
+    /// The present time by a front's clock.
     pub(super) fn clock(&self, front: u32) -> Moment {
         let front = &self.fronts[front as usize];
         let elapsed = self.now_us as i64 + self.now_us as i64 * front.drift_ppm / 1_000_000;
         Moment::from_micros((CLOCK_START_US + elapsed as u64).saturating_sub(front.set_back_us))
     }
 
+    /// Starts a front's process with its persisted state, unless it runs already.
     fn start(&mut self, front: u32, persisted: Option<&PersistedState>) {
         let now = self.clock(front);
         let scenario = &self.scenario;
@@ -225,13 +232,14 @@
         self.process(front, None);
     }
 
-    /// Starts a front with what it has on disk.
+    /// Starts a front with the state that it has on disk.
     fn restart(&mut self, front: u32) {
         let disk = self.fronts[front as usize].disk.as_ref().map(|stored| stored.state.clone());
         let persisted = self.proxy.persisted_state().or(disk);
         self.start(front, persisted.as_ref());
     }
 
+    /// Ends a front's process. Its leases and buffered messages are lost.
     fn crash(&mut self, front: u32) {
         let state = &mut self.fronts[front as usize];
         state.engine = None;
@@ -242,6 +250,7 @@
         }
     }
 
+    /// Resumes a paused front, which handles its buffered messages first.
     fn resume(&mut self, front: u32) {
         self.fronts[front as usize].is_paused = false;
         for delivery in std::mem::take(&mut self.fronts[front as usize].inbox) {
@@ -250,18 +259,20 @@
         self.process(front, None);
     }
 
+    /// Lets a front release its leases and leave service.
     fn leave(&mut self, front: u32) {
         let now = self.clock(front);
         if let Some(engine) = &mut self.fronts[front as usize].engine {
             engine.leave(now);
         }
         self.process(front, None);
-        // Its process ends a little later, and is started again.
+        // The process ends 300 ms later, and starts again after another 300 ms.
         self.schedule(self.now_us + 300 * MILLISECOND, Event::Crash(front));
         self.schedule(self.now_us + 600 * MILLISECOND, Event::Start(front));
     }
 
-    /// Runs a front's engine, after a message where one came, and sends what it has to say.
+    /// Passes a delivery, if any, to a front's engine, runs the engine, persists its state, and sends its messages.
+    /// A paused front only buffers the delivery.
     pub(super) fn process(&mut self, front: u32, delivery: Option<Delivery>) {
         let now = self.clock(front);
         let state = &mut self.fronts[front as usize];
@@ -296,19 +307,21 @@
         self.check_holder(front);
     }
 
-    /// Writes a voter's state before its messages are sent; in the mutation, seconds later.
+    /// Writes a voter's state to disk before its messages are sent. With [`Mutation::SentBeforePersisted`] a write
+    /// is skipped until more than 5 s after the last one.
     fn persist(&mut self, front: u32) {
         let state = &mut self.fronts[front as usize];
         let voter = state.engine.as_ref().and_then(Engine::voter);
         let Some(voter) = voter.filter(|_| self.has_disks) else { return };
-        let is_late = self.scenario.mutation == Some(Mutation::SentBeforePersisted);
-        let written_us = state.disk.as_ref().map(|stored| stored.written_us);
+        let skips_writes = self.scenario.mutation == Some(Mutation::SentBeforePersisted);
+        let written_at_us = state.disk.as_ref().map(|stored| stored.written_at_us);
         let now_us = self.now_us;
-        if !is_late || written_us.is_none_or(|written_us| now_us - written_us > 5 * SECOND) {
-            state.disk = Some(StoredState { written_us: now_us, state: voter.persisted_state() });
+        if !skips_writes || written_at_us.is_none_or(|written_at_us| now_us - written_at_us > 5 * SECOND) {
+            state.disk = Some(StoredState { written_at_us: now_us, state: voter.persisted_state() });
         }
     }
 
+    /// Sends the copies of a message, each with its own loss and delay.
     fn send(&mut self, sender: MemberId, transmit: Transmit) {
         let Transmit { recipient, message } = transmit;
         self.report.messages += 1;
@@ -325,18 +338,20 @@
         }
     }
 
+    /// Whether the partition in force cuts the link from one front to another.
     fn is_cut(&self, from: u32, to: u32) -> bool {
         self.partition.is_some_and(|index| self.partitions[index].cuts(from, to))
     }
 
-    /// Schedules a front's engine by its own clock, a little later where that is off.
+    /// Schedules the next run of a front after `wait` by its clock, unless an earlier run is already scheduled. One
+    /// microsecond is added so that rounding does not make the run early.
     fn schedule_wake(&mut self, front: u32, wait: Span) {
         let state = &mut self.fronts[front as usize];
         let rate = 1.0 + state.drift_ppm as f64 / 1e6;
         let wait_us = (wait.micros() as f64 / rate) as u64 + 1;
         let at_us = self.now_us + wait_us;
-        if state.wakes_us <= self.now_us || at_us < state.wakes_us {
-            state.wakes_us = at_us;
+        if state.next_wake_us <= self.now_us || at_us < state.next_wake_us {
+            state.next_wake_us = at_us;
             self.schedule(at_us, Event::Wake { front, at_us });
         }
     }
@@ -344,8 +359,8 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Wake { front, at_us } => {
-                if self.fronts[front as usize].wakes_us == at_us {
-                    self.fronts[front as usize].wakes_us = u64::MAX;
+                if self.fronts[front as usize].next_wake_us == at_us {
+                    self.fronts[front as usize].next_wake_us = u64::MAX;
                     self.process(front, None);
                 }
             }
@@ -363,7 +378,7 @@
         }
     }
 
-    /// Lets all events happen, until the end or the first finding.
+    /// Handles all events until the end of the scenario or the first violation.
     pub(super) fn run(mut self) -> Report {
         let end_us = self.scenario.duration_secs * SECOND;
         while self.report.finding.is_none()
@@ -375,8 +390,8 @@
             self.report.events += 1;
             self.handle(event);
         }
-        let whole_us = self.now_us.max(1) * self.scenario.tasks;
-        self.report.held_share = self.held_us as f64 / whole_us as f64;
+        let task_time_us = self.now_us.max(1) * self.scenario.tasks;
+        self.report.held_share = self.held_us as f64 / task_time_us as f64;
         self.report
     }
 }
