--- a/crates/ochrelead-verify/src/fleet.rs
+++ b/crates/ochrelead-verify/src/fleet.rs
@@ -1,9 +1,11 @@
-//! Whole fleets of what a node does with its peers, as it ships, on a virtual clock: datagrams with their bytes, a few
-//! silent servers, and how long each is without a front that may test it.
+//! Simulation of whole fleets on a virtual clock, which measures the costs of coordination. The coordination of
+//! each node with its peers is the production code, down to the bytes of its datagrams. The servers are silent:
+//! they send nothing unprompted, so fronts check their health. A front that holds the lease of a server checks it
+//! for the whole fleet.
 //!
-//! - [`Scenario`]: what is simulated; [`Costs`]: what that costs.
-//! - `world`: the fronts, and the events that happen to them.
-//! - `faults`: what happens to the front that holds a lease.
+//! - [`Scenario`]: the input of a run; [`Costs`]: its result.
+//! - `world`: the fronts and the event loop.
+//! - `faults`: the faults of lease holders, and the time until a lease is held again.
 
 mod faults;
 mod world;
@@ -13,27 +15,28 @@
 
 use world::World;
 
-/// A millisecond of virtual time, which is counted in microseconds.
+/// One millisecond in microseconds, the unit of virtual time.
 const MILLISECOND: u64 = 1_000;
 const SECOND: u64 = 1_000 * MILLISECOND;
 
-/// What happens to the front that holds a lease.
+/// A fault of the front that holds the lease of the first server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Its process is killed.
+    /// The process of the holder is killed.
     HolderKilled,
-    /// Its process stalls, for longer than its lease.
+    /// The process of the holder stalls for longer than its lease; it does not resume within the run.
     HolderPaused,
-    /// It leaves service, and releases its lease.
+    /// The holder leaves service, and releases its lease.
     HolderLeaves,
-    /// It restarts together with all voters.
+    /// The holder and all voters restart at the same time.
     VotersRestart,
-    /// It is down for a minute, together with three of five voters; counted from their return.
+    /// The holder and three of the five voters are down for a minute. The time without a holder counts from their
+    /// return.
     MajorityReturns,
 }
 
 impl Fault {
-    /// All faults.
+    /// All faults, in the order in which the program runs them.
     pub const ALL: [Fault; 5] = [
         Fault::HolderKilled,
         Fault::HolderPaused,
@@ -43,7 +46,7 @@
     ];
 }
 
-/// The name in the program's output.
+/// Writes the name that the program prints.
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -56,45 +59,45 @@
     }
 }
 
-/// What is simulated.
+/// The input of a simulation.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// How many fronts there are.
+    /// Number of fronts.
     pub fronts: u32,
-    /// How many servers are silent.
+    /// Number of servers, all of them silent.
     pub servers: u32,
-    /// How long it lasts, in seconds, before the fault.
+    /// Simulated time before the fault, in seconds.
     pub duration_secs: u64,
     /// The seed of all random draws.
     pub seed: u64,
-    /// Whether servers answer tests; else they stay silent.
+    /// Whether servers answer the health checks of lease holders.
     pub servers_answer: bool,
     /// Whether fronts coordinate.
     pub is_coordinated: bool,
-    /// What happens then.
+    /// The fault at the end of the run, if any.
     pub fault: Option<Fault>,
 }
 
-/// What a scenario costs, counted over the second half of its duration.
+/// The costs of a fleet, counted over the second half of the simulated time before the fault.
 #[derive(Clone, Debug, Default)]
 pub struct Costs {
-    /// Datagrams that all fronts sent.
+    /// Number of datagrams that all fronts sent.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Total size of these datagrams, in bytes.
     pub bytes: u64,
-    /// Tests of servers under a lease.
+    /// Number of health checks by lease holders, on behalf of the fleet.
     pub leased_tests: u64,
-    /// Tests of servers that fronts did each for itself.
+    /// Number of health checks that fronts made without a lease, each for itself.
     pub own_tests: u64,
-    /// How long was counted, in seconds.
+    /// Simulated time over which costs were counted, in seconds.
     pub secs: f64,
-    /// The processor time of all fronts.
+    /// Real time spent in the coordination code of all fronts.
     pub cpu: Duration,
-    /// How long after the fault no front might test the first server, in ms.
+    /// Time after the fault until a front holds the lease of the first server again, in milliseconds.
     pub gap_ms: Option<u64>,
 }
 
-/// Runs a scenario.
+/// Simulates a scenario from start to end.
 pub fn run(scenario: Scenario) -> Costs {
     World::new(scenario).run()
 }
--- a/crates/ochrelead-verify/src/fleet/faults.rs
+++ b/crates/ochrelead-verify/src/fleet/faults.rs
@@ -1,48 +1,46 @@
-//! What happens to the front that holds a lease, and how soon it is followed.
+//! Applies a fault to the front that holds a lease, and measures the time until a front holds it again.
 
 use ochrelead_lease::electorate::{DEFAULT_SIZE, Electorate};
 
 use super::world::{World, moment};
 use super::{Fault, MILLISECOND, SECOND};
 
-/// How long a holder is waited for.
+/// The simulation waits at most this long for a holder; also the down time in [`Fault::MajorityReturns`].
 const MAX_WAIT_US: u64 = 60 * SECOND;
-/// How many voters of five are a majority.
+/// Number of voters that are a majority of [`DEFAULT_SIZE`].
 const MAJORITY: usize = 3;
 
 impl World {
-    /// The front that may test the first server.
+    /// The front that holds the lease of the first server.
     fn holder(&self) -> Option<u32> {
         let fronts = (0..).zip(&self.fronts);
-        fronts
-            .into_iter()
-            .find(|(_, front)| front.may_test_first_server(self.now_us))
-            .map(|(number, _)| number)
+        fronts.into_iter().find(|(_, front)| front.holds_first_lease(self.now_us)).map(|(number, _)| number)
     }
 
-    /// Deals the fault, and waits until a front may test the first server. Returns how long that took, in ms.
-    pub(super) fn deal_fault(&mut self, fault: Fault) -> Option<u64> {
+    /// Applies the fault to the holder, and waits for the next holder of the lease of the first server. The same front
+    /// counts as the next holder if the fault restarts it. Returns the time without a holder, in milliseconds.
+    pub(super) fn measure_gap_after(&mut self, fault: Fault) -> Option<u64> {
         self.run_until(self.now_us + MAX_WAIT_US, |world| world.holder().is_some());
         let holder = self.holder()?;
-        let began_us = self.apply(fault, holder);
-        let may_be_the_same = matches!(fault, Fault::MajorityReturns | Fault::VotersRestart);
+        let gap_start_us = self.apply_fault(fault, holder);
+        let holder_restarts = matches!(fault, Fault::MajorityReturns | Fault::VotersRestart);
         self.run_until(self.now_us + MAX_WAIT_US, |world| {
-            world.holder().is_some_and(|next| next != holder || may_be_the_same)
+            world.holder().is_some_and(|next| next != holder || holder_restarts)
         });
-        self.holder().map(|_| (self.now_us - began_us) / MILLISECOND)
+        self.holder().map(|_| (self.now_us - gap_start_us) / MILLISECOND)
     }
 
-    /// Returns when the gap begins.
-    fn apply(&mut self, fault: Fault, holder: u32) -> u64 {
+    /// Applies the fault. Returns the virtual time from which the gap counts, in microseconds.
+    fn apply_fault(&mut self, fault: Fault, holder: u32) -> u64 {
         let voters = Electorate::evenly_spaced(1, self.scenario.fronts, DEFAULT_SIZE).voters();
-        let began_us = self.now_us;
+        let gap_start_us = self.now_us;
         match fault {
             Fault::HolderKilled => self.fronts[holder as usize].kill(),
             Fault::HolderPaused => self.fronts[holder as usize].is_paused = true,
             Fault::HolderLeaves => {
                 let now = moment(self.now_us);
-                if let Some(node) = &mut self.fronts[holder as usize].node {
-                    node.leave(now);
+                if let Some(coordination) = &mut self.fronts[holder as usize].coordination {
+                    coordination.leave(now);
                 }
                 self.process(holder);
             }
@@ -58,6 +56,6 @@
                 return self.now_us;
             }
         }
-        began_us
+        gap_start_us
     }
 }
--- a/crates/ochrelead-verify/src/fleet/world.rs
+++ b/crates/ochrelead-verify/src/fleet/world.rs
@@ -1,4 +1,4 @@
-//! The fronts of a simulated fleet, and the events that happen to them.
+//! The state of a simulated fleet, and the event loop.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -14,26 +14,26 @@
 use super::{Costs, MILLISECOND, SECOND, Scenario};
 use crate::event_queue::EventQueue;
 
-/// How long a datagram takes, on average; a server's answer takes as long.
+/// Mean one-way delay of a datagram; a health check and a server's answer each take exactly as long.
 const LATENCY_US: u64 = 5 * MILLISECOND;
-/// A front by itself tests a server that was silent for so long.
-const SILENCE_US: u64 = 2 * SECOND;
-/// How often fronts look for servers to test by themselves.
-const OWN_TEST_INTERVAL_US: u64 = 100 * MILLISECOND;
-/// What clocks show at the start.
+/// A front checks the health of a server without a lease if it has not heard from the server for this time.
+const MAX_SILENCE_US: u64 = 2 * SECOND;
+/// Interval at which each front looks for silent servers to check itself.
+const LOCAL_CHECK_INTERVAL_US: u64 = 100 * MILLISECOND;
+/// Reading of every clock at the start of the run.
 const CLOCK_START_US: u64 = 3_600 * SECOND;
-/// What a front's socket holds; more datagrams are lost.
+/// Datagrams that the socket of a front buffers; further ones are lost.
 const MAX_INBOX: usize = 256;
 const PORT: u16 = 7946;
 
-/// What happens.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A front is due; outdated where the front is due at another time by now.
+    /// A front is due to run at `at_us`. The event is ignored if the front was rescheduled.
     Wake { front: u32, at_us: u64 },
-    /// A datagram arrives.
+    /// A datagram arrives at a front.
     Arrival { recipient: u32, datagram: Datagram },
-    /// A server's answer to a front's test arrives.
+    /// A server's answer to a health check arrives at the front.
     Answer { front: u32, server: u32 },
 }
 
@@ -43,19 +43,20 @@
     bytes: Vec<u8>,
 }
 
-/// What a front knows of a server.
+/// When a front last heard from a server.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerState {
-    heard_us: u64,
-    /// When other fronts have heard it.
-    heard_by_others: Option<Moment>,
+    last_heard_us: u64,
+    /// When another front last heard from the server, as that front reported.
+    last_heard_by_peers: Option<Moment>,
 }
 
 pub(super) struct Front {
-    /// `None` while its process does not run, and where fronts do not coordinate.
-    pub(super) node: Option<FleetCoordination>,
+    /// `None` while the process does not run, and in runs without coordination.
+    pub(super) coordination: Option<FleetCoordination>,
     pub(super) is_paused: bool,
-    wakes_us: u64,
+    /// Virtual time of the next scheduled run; 0 once that run has begun.
+    next_wake_us: u64,
     servers: Vec<ServerState>,
     inbox: Vec<Datagram>,
 }
@@ -63,16 +64,18 @@
 impl Front {
     fn new(servers: u32) -> Front {
         let servers = vec![ServerState::default(); servers as usize];
-        Front { node: None, is_paused: false, wakes_us: 0, servers, inbox: Vec::new() }
+        Front { coordination: None, is_paused: false, next_wake_us: 0, servers, inbox: Vec::new() }
     }
 
     pub(super) fn kill(&mut self) {
-        self.node = None;
+        self.coordination = None;
     }
 
-    pub(super) fn may_test_first_server(&self, now_us: u64) -> bool {
-        let node = self.node.as_ref().filter(|_| !self.is_paused);
-        node.is_some_and(|node| node.held_token(moment(now_us), &server_name(0)).is_some())
+    /// Whether the front runs and holds the lease of the first server.
+    pub(super) fn holds_first_lease(&self, now_us: u64) -> bool {
+        let coordination = self.coordination.as_ref().filter(|_| !self.is_paused);
+        coordination
+            .is_some_and(|coordination| coordination.held_token(moment(now_us), &server_name(0)).is_some())
     }
 }
 
@@ -83,7 +86,7 @@
     pub(super) fronts: Vec<Front>,
     rng: Pcg64Mcg,
     costs: Costs,
-    /// Costs are counted.
+    /// Whether costs are being counted.
     is_counting: bool,
 }
 
@@ -119,14 +122,15 @@
         };
         (0..world.scenario.fronts).for_each(|front| world.start(front));
         if !world.scenario.is_coordinated {
-            // Nothing happens by itself: events without effect let time pass.
+            // Without coordination there are no other events. These have no effect, but advance the clock.
             for tick in 0..world.scenario.duration_secs * 10 {
-                world.queue.push(tick * OWN_TEST_INTERVAL_US, Event::Wake { front: 0, at_us: u64::MAX });
+                world.queue.push(tick * LOCAL_CHECK_INTERVAL_US, Event::Wake { front: 0, at_us: u64::MAX });
             }
         }
         world
     }
 
+    /// Runs the scenario: first half, second half with costs counted, then the fault.
     pub(super) fn run(mut self) -> Costs {
         let half_us = self.scenario.duration_secs * SECOND / 2;
         self.run_until(half_us, |_| false);
@@ -134,10 +138,11 @@
         self.run_until(2 * half_us, |_| false);
         self.is_counting = false;
         self.costs.secs = half_us as f64 / 1e6;
-        self.costs.gap_ms = self.scenario.fault.and_then(|fault| self.deal_fault(fault));
+        self.costs.gap_ms = self.scenario.fault.and_then(|fault| self.measure_gap_after(fault));
         self.costs
     }
 
+    /// Starts or restarts a front's process.
     pub(super) fn start(&mut self, front: u32) {
         let Scenario { fronts, seed, is_coordinated, .. } = self.scenario;
         let addresses = (0..fronts).map(address).collect();
@@ -151,30 +156,30 @@
             electorate,
             seed,
         };
-        let node = FleetCoordination::new(config, now);
+        let coordination = FleetCoordination::new(config, now);
         let state = &mut self.fronts[front as usize];
-        state.node = node.filter(|_| is_coordinated);
-        (state.is_paused, state.wakes_us) = (false, self.now_us);
+        state.coordination = coordination.filter(|_| is_coordinated);
+        (state.is_paused, state.next_wake_us) = (false, self.now_us);
         state.inbox.clear();
         self.queue.push(self.now_us, Event::Wake { front, at_us: self.now_us });
     }
 
-    /// Runs a front, and does what it asks for.
+    /// Runs a front's coordination, performs its actions, sends its datagrams, and schedules the next run.
     pub(super) fn process(&mut self, front: u32) {
         let (now, started) = (moment(self.now_us), Instant::now());
         let state = &mut self.fronts[front as usize];
-        let Some(node) = state.node.as_mut().filter(|_| !state.is_paused) else { return };
+        let Some(coordination) = state.coordination.as_mut().filter(|_| !state.is_paused) else { return };
         for datagram in std::mem::take(&mut state.inbox) {
-            node.handle_input(now, datagram.sender, &datagram.bytes);
+            coordination.handle_input(now, datagram.sender, &datagram.bytes);
         }
-        node.process(now);
-        node.update_servers(now, || ServerReport {
-            activity: silent_servers(&state.servers),
+        coordination.process(now);
+        coordination.update_servers(now, || ServerReport {
+            activity: server_activity(&state.servers),
             locations: Vec::new(),
         });
-        let actions: Vec<FleetAction> = std::iter::from_fn(|| node.poll_action()).collect();
-        let datagrams: Vec<_> = std::iter::from_fn(|| node.poll_output()).collect();
-        let timeout = node.poll_timeout();
+        let actions: Vec<FleetAction> = std::iter::from_fn(|| coordination.poll_action()).collect();
+        let datagrams: Vec<_> = std::iter::from_fn(|| coordination.poll_output()).collect();
+        let timeout = coordination.poll_timeout();
         self.costs.cpu += started.elapsed();
         for action in actions {
             self.perform(front, action);
@@ -187,27 +192,30 @@
         }
     }
 
-    fn server_number(&self, name: &str) -> Option<u32> {
+    /// The number of a server, by its name.
+    fn server_by_name(&self, name: &str) -> Option<u32> {
         (0..self.scenario.servers).find(|server| server_name(*server) == name)
     }
 
+    /// Performs an action of a front's coordination: a health check, or a note of what a peer has heard.
     fn perform(&mut self, front: u32, action: FleetAction) {
         match action {
             FleetAction::CheckHealth { server, .. } => {
                 self.costs.leased_tests += u64::from(self.is_counting);
-                let server = self.server_number(&server).filter(|_| self.scenario.servers_answer);
+                let server = self.server_by_name(&server).filter(|_| self.scenario.servers_answer);
                 if let Some(server) = server {
                     self.queue.push(self.now_us + 2 * LATENCY_US, Event::Answer { front, server });
                 }
             }
             FleetAction::NoteHeardByPeer { server, heard_at } => {
-                if let Some(server) = self.server_number(&server) {
-                    self.fronts[front as usize].servers[server as usize].heard_by_others = Some(heard_at);
+                if let Some(server) = self.server_by_name(&server) {
+                    self.fronts[front as usize].servers[server as usize].last_heard_by_peers = Some(heard_at);
                 }
             }
         }
     }
 
+    /// Sends a datagram, which arrives after a random delay.
     fn send(&mut self, front: u32, recipient: SocketAddr, bytes: Vec<u8>) {
         if self.is_counting {
             self.costs.datagrams += 1;
@@ -219,34 +227,36 @@
         self.queue.push(self.now_us + delay_us, Event::Arrival { recipient, datagram });
     }
 
+    /// Schedules the next run of a front, unless an earlier run is already scheduled.
     fn schedule_wake(&mut self, front: u32, at_us: u64) {
         let state = &mut self.fronts[front as usize];
-        if state.wakes_us <= self.now_us || at_us < state.wakes_us {
-            state.wakes_us = at_us;
+        if state.next_wake_us <= self.now_us || at_us < state.next_wake_us {
+            state.next_wake_us = at_us;
             self.queue.push(at_us, Event::Wake { front, at_us });
         }
     }
 
-    /// What fronts do by themselves about silent servers: a test is a new connection, which a server accepts.
-    fn test_alone(&mut self) {
+    /// Lets each front check the servers that neither it nor its peers have heard from lately. Such a check opens a
+    /// connection; the silent server accepts it, and so counts as heard.
+    fn check_silent_servers(&mut self) {
         let now = moment(self.now_us);
         for server in self.fronts.iter_mut().flat_map(|front| &mut front.servers) {
-            let heard = effective_last_heard(moment(server.heard_us), server.heard_by_others);
-            if now.since(heard).micros() >= SILENCE_US {
+            let heard = effective_last_heard(moment(server.last_heard_us), server.last_heard_by_peers);
+            if now.since(heard).micros() >= MAX_SILENCE_US {
                 self.costs.own_tests += u64::from(self.is_counting);
-                server.heard_us = self.now_us;
+                server.last_heard_us = self.now_us;
             }
         }
     }
 
-    /// Lets events happen until a time, or until `is_over`.
+    /// Handles events up to `until_us`, or until `is_over` returns true after an event.
     pub(super) fn run_until(&mut self, until_us: u64, mut is_over: impl FnMut(&World) -> bool) {
-        let mut next_own_tests_us = self.now_us;
+        let mut next_local_checks_us = self.now_us;
         while let Some((at_us, event)) = self.queue.pop_until(until_us) {
             self.now_us = at_us;
-            if self.now_us >= next_own_tests_us {
-                next_own_tests_us = self.now_us + OWN_TEST_INTERVAL_US;
-                self.test_alone();
+            if self.now_us >= next_local_checks_us {
+                next_local_checks_us = self.now_us + LOCAL_CHECK_INTERVAL_US;
+                self.check_silent_servers();
             }
             self.handle(event);
             if is_over(self) {
@@ -259,8 +269,8 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Wake { front, at_us } => {
-                if self.fronts[front as usize].wakes_us == at_us {
-                    self.fronts[front as usize].wakes_us = 0;
+                if self.fronts[front as usize].next_wake_us == at_us {
+                    self.fronts[front as usize].next_wake_us = 0;
                     self.process(front);
                 }
             }
@@ -272,18 +282,18 @@
                 self.process(recipient);
             }
             Event::Answer { front, server } => {
-                self.fronts[front as usize].servers[server as usize].heard_us = self.now_us;
+                self.fronts[front as usize].servers[server as usize].last_heard_us = self.now_us;
             }
         }
     }
 }
 
-/// Servers that have said nothing since the start.
-fn silent_servers(servers: &[ServerState]) -> Vec<ServerActivity> {
-    let silent = |(number, server): (u32, &ServerState)| ServerActivity {
+/// Reports all servers as silent: they have sent nothing unprompted since the start.
+fn server_activity(servers: &[ServerState]) -> Vec<ServerActivity> {
+    let activity = |(number, server): (u32, &ServerState)| ServerActivity {
         server: server_name(number),
         last_unprompted: moment(0),
-        last_heard: moment(server.heard_us),
+        last_heard: moment(server.last_heard_us),
     };
-    (0..).zip(servers).map(silent).collect()
+    (0..).zip(servers).map(activity).collect()
 }
