--- a/crates/ochrelead-verify/src/commands/costs.rs
+++ b/crates/ochrelead-verify/src/commands/costs.rs
@@ -32,7 +32,7 @@
 fn print_costs(scenario: Scenario) {
     let Scenario { fronts, servers, servers_answer, is_coordinated, .. } = scenario;
     let costs = fleet::run(scenario);
-    let rate = |count: u64| count as f64 / costs.secs;
+    let rate = |count: u64| count as f64 / costs.counted_secs;
     println!(
         "{fronts} fronts, {servers} silent servers that {}, {}: datagrams a second {:.2} each, {:.0} in all; bytes \
          a second {:.0} each, {:.0} in all; tests a second under a lease {:.2}, by fronts for themselves {:.1}; \
@@ -43,9 +43,9 @@
         rate(costs.datagrams),
         rate(costs.bytes) / f64::from(fronts),
         rate(costs.bytes),
-        rate(costs.leased_tests),
-        rate(costs.own_tests),
-        costs.cpu.as_secs_f64() * 1e3 / costs.secs / f64::from(fronts),
+        rate(costs.leased_health_checks),
+        rate(costs.unleased_health_checks),
+        costs.cpu.as_secs_f64() * 1e3 / costs.counted_secs / f64::from(fronts),
     );
 }
 
--- a/crates/ochrelead-verify/src/fleet.rs
+++ b/crates/ochrelead-verify/src/fleet.rs
@@ -86,11 +86,11 @@
     /// Total size of these datagrams, in bytes.
     pub bytes: u64,
     /// Number of health checks by lease holders, on behalf of the fleet.
-    pub leased_tests: u64,
+    pub leased_health_checks: u64,
     /// Number of health checks that fronts made without a lease, each for itself.
-    pub own_tests: u64,
+    pub unleased_health_checks: u64,
     /// Simulated time over which costs were counted, in seconds.
-    pub secs: f64,
+    pub counted_secs: f64,
     /// Real time spent in the coordination code of all fronts.
     pub cpu: Duration,
     /// Time after the fault until a front holds the lease of the first server again, in milliseconds.
--- a/crates/ochrelead-verify/src/fleet/world.rs
+++ b/crates/ochrelead-verify/src/fleet/world.rs
@@ -137,7 +137,7 @@
         (self.is_counting, self.costs.cpu) = (true, Duration::ZERO);
         self.run_until(2 * half_us, |_| false);
         self.is_counting = false;
-        self.costs.secs = half_us as f64 / 1e6;
+        self.costs.counted_secs = half_us as f64 / 1e6;
         self.costs.gap_ms = self.scenario.fault.and_then(|fault| self.measure_gap_after(fault));
         self.costs
     }
@@ -201,7 +201,7 @@
     fn perform(&mut self, front: u32, action: FleetAction) {
         match action {
             FleetAction::CheckHealth { server, .. } => {
-                self.costs.leased_tests += u64::from(self.is_counting);
+                self.costs.leased_health_checks += u64::from(self.is_counting);
                 let server = self.server_by_name(&server).filter(|_| self.scenario.servers_answer);
                 if let Some(server) = server {
                     self.queue.push(self.now_us + 2 * LATENCY_US, Event::Answer { front, server });
@@ -243,7 +243,7 @@
         for server in self.fronts.iter_mut().flat_map(|front| &mut front.servers) {
             let heard = effective_last_heard(moment(server.last_heard_us), server.last_heard_by_peers);
             if now.since(heard).micros() >= MAX_SILENCE_US {
-                self.costs.own_tests += u64::from(self.is_counting);
+                self.costs.unleased_health_checks += u64::from(self.is_counting);
                 server.last_heard_us = self.now_us;
             }
         }
--- a/crates/ochrelead-verify/tests/fleet.rs
+++ b/crates/ochrelead-verify/tests/fleet.rs
@@ -12,12 +12,12 @@
 #[test]
 fn coordination_halves_the_health_checks_of_fronts_without_a_lease() {
     let (uncoordinated, coordinated) = (run(scenario(60, false, None)), run(scenario(60, true, None)));
-    assert!(coordinated.leased_tests > 0);
+    assert!(coordinated.leased_health_checks > 0);
     assert!(
-        coordinated.own_tests * 2 < uncoordinated.own_tests,
+        coordinated.unleased_health_checks * 2 < uncoordinated.unleased_health_checks,
         "{} health checks without coordination, {} with it",
-        uncoordinated.own_tests,
-        coordinated.own_tests
+        uncoordinated.unleased_health_checks,
+        coordinated.unleased_health_checks
     );
 }
 
@@ -27,7 +27,7 @@
 #[test_case(100, 3.0; "100")]
 fn datagram_rate_per_front_is_bounded_for_any_fleet_size(fronts: u32, max_rate: f64) {
     let costs = run(scenario(fronts, true, None));
-    let rate = costs.datagrams as f64 / costs.secs / f64::from(fronts);
+    let rate = costs.datagrams as f64 / costs.counted_secs / f64::from(fronts);
     assert!(rate <= max_rate, "{rate} datagrams per second and front, more than {max_rate}");
     assert!(costs.bytes <= costs.datagrams * 256);
 }
