--- a/crates/ochrelead-platform/src/caller_messages.rs
+++ b/crates/ochrelead-platform/src/caller_messages.rs
@@ -1,4 +1,4 @@
-//! The messages between callers and a front: a JSON object a line.
+//! The messages between callers and a front: one JSON object per line.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -13,13 +13,13 @@
 pub struct CallId([u8; 16]);
 
 impl CallId {
-    /// Parses an id; none where the text is not 16 hex digits.
+    /// Parses an id. Returns `None` if the text is not 16 hex digits.
     pub fn parse(text: &str) -> Option<CallId> {
         let digits: [u8; 16] = text.as_bytes().try_into().ok()?;
         digits.iter().all(u8::is_ascii_hexdigit).then_some(CallId(digits))
     }
 
-    /// The digits.
+    /// Returns the 16 digits.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.0).unwrap_or_default()
     }
@@ -31,142 +31,147 @@
     }
 }
 
-/// A set-up as its caller requests it; names are those of the settings.
+/// A set-up request. Service and tenant are named as in the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetUpRequest {
     /// The call to set up.
     pub call: CallId,
     /// The name of the service.
     pub class: String,
-    /// The name of the tenant, where the caller names one.
+    /// The name of the tenant, if the caller gives one.
     pub tenant: Option<String>,
-    /// How long the caller waits.
+    /// The time the caller still waits for an answer, from the receipt of the request.
     pub time_left: Span,
     /// The called number.
     pub called_number: String,
-    /// The number of the server of first choice, where the caller names one.
+    /// The number of the preferred server, if the caller gives one; -1 if it has no preference.
     pub destination: Option<i64>,
-    /// The session description, to be passed on as it is.
+    /// The session description, forwarded to the server unchanged.
     pub description: String,
 }
 
 /// A message of a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerMessage {
-    /// A call is to be set up.
+    /// Requests the set-up of a call.
     SetUp(SetUpRequest),
-    /// A call is established at a server already; no answer is awaited.
+    /// Reports a call that is already established at a server. It needs no answer.
     Established {
         /// The call.
         call: CallId,
         /// The id of the server.
         server: String,
     },
-    /// A set-up is cancelled, or an established call is released.
+    /// Cancels a set-up or releases an established call.
     Release {
         /// The call.
         call: CallId,
     },
-    /// A health check of the front; the id is sent back.
+    /// A health check of the front. The reply carries the same id.
     Heartbeat {
-        /// What identifies the reply.
+        /// The id that the reply repeats.
         id: String,
     },
-    /// A release or a rejection was received.
+    /// Acknowledges a release or a rejection.
     Acknowledged {
         /// The call.
         call: CallId,
     },
-    /// A message that means nothing to a front.
+    /// A message that a front does not act on.
     Ignored,
 }
 
-/// Why a message of a caller can't be served.
+/// The reason for which a caller's message is rejected.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum MessageError {
-    /// The line is no JSON object of the protocol.
-    #[error("no message: {0}")]
+    /// The line is not a JSON object of this protocol.
+    #[error("line is not a caller message: {0}")]
     Syntax(#[source] serde_json::Error),
-    /// The line is longer than any message.
-    #[error("an endless line")]
+    /// The line exceeds [`MAX_MESSAGE_LENGTH`](crate::MAX_MESSAGE_LENGTH).
+    #[error("line exceeds the maximum message length")]
     LineTooLong,
-    /// The message needs the id of a call.
-    #[error("no id of 16 hex digits")]
+    /// A message that needs a call id has no valid one.
+    #[error("`ref` is missing or is not a call id of 16 hex digits")]
     MissingCallId,
-    /// A release needs a cause.
-    #[error("a release without a cause")]
+    /// A release has no cause.
+    #[error("release without a cause: `c` must be a non-negative integer")]
     MissingCause,
-    /// The type is none of the protocol.
-    #[error("an unknown type {0:?}")]
+    /// The message type does not belong to this protocol.
+    #[error("unknown message type {0:?}")]
     UnknownType(String),
-    /// A field of a set-up has another form.
-    #[error("{0} is neither a string nor a number")]
+    /// A field of a set-up is neither a string nor a number.
+    #[error("field {0} is neither a string nor a number")]
     InvalidField(&'static str),
     /// A part of the extras has no name.
-    #[error("extras: {0:?} names no figure")]
+    #[error("extras: {0:?} is not of the form name:value")]
     UnnamedExtra(String),
-    /// A figure of the extras is not a whole number.
-    #[error("extras: {0} is no whole number")]
-    FractionalExtra(String),
-    /// A figure of the extras is out of range.
-    #[error("a figure of {0}")]
-    ExtraOutOfRange(f64),
-    /// A set-up needs a class.
-    #[error("no class")]
+    /// A numeric extra is not an integer.
+    #[error("extras: {0} is not an integer")]
+    NonIntegerExtra(String),
+    /// A numeric extra is out of range.
+    #[error("extras: {value} is out of range, which is {min} to {MAX_EXTRA}")]
+    ExtraOutOfRange {
+        /// The value found.
+        value: f64,
+        /// The smallest value that is allowed.
+        min: f64,
+    },
+    /// A set-up names no service.
+    #[error("set-up without a class")]
     MissingClass,
-    /// A set-up needs the time that its caller waits.
-    #[error("no time left")]
+    /// A set-up does not say how long its caller waits.
+    #[error("set-up without a waiting time: `left` must be a number of milliseconds above 0")]
     MissingTimeLeft,
-    /// A set-up needs a called number that can stand in a SIP message.
-    #[error("no number")]
-    MissingNumber,
-    /// A set-up needs a session description.
-    #[error("no description")]
+    /// A set-up has no called number that can be written into a SIP request line.
+    #[error("set-up without a valid called number in `key`")]
+    InvalidCalledNumber,
+    /// A set-up has no session description.
+    #[error("set-up without a session description in `d`")]
     MissingDescription,
-    /// A call of that id is under way.
-    #[error("the id of a call that is held")]
+    /// The front already holds a call with this id.
+    #[error("a call with this id already exists")]
     DuplicateCall,
-    /// The settings have no class of that name.
-    #[error("no such class")]
+    /// The settings have no service of this name.
+    #[error("the settings have no class of this name")]
     UnknownClass,
-    /// The settings have no tenant of that name.
-    #[error("no such tenant")]
+    /// The settings have no tenant of this name.
+    #[error("the settings have no tenant of this name")]
     UnknownTenant,
-    /// The settings have tenants, and the set-up names none.
-    #[error("no tenant")]
+    /// The settings have tenants, but the set-up names none.
+    #[error("set-up without a tenant")]
     MissingTenant,
-    /// The caller waits longer than its class allows.
-    #[error("more time left than the class has")]
+    /// The caller's waiting time exceeds the deadline of its service.
+    #[error("waiting time exceeds the deadline of the class")]
     TimeLeftTooLong,
-    /// No server has the number of the destination.
-    #[error("no such destination")]
+    /// No server has the destination's number.
+    #[error("no server has the number of the destination")]
     UnknownDestination,
     /// The session description does not fit into a message to a server.
-    #[error("too long to be passed on")]
+    #[error("session description is too long to be forwarded")]
     DescriptionTooLong,
 }
 
-/// A message that can't be served.
+/// A message that is rejected.
 #[derive(Debug, thiserror::Error)]
 #[error("{error}")]
 pub struct InvalidMessage {
-    /// The call that the message names, where it names one.
+    /// The call that the message refers to, if it has a valid call id.
     pub call: Option<CallId>,
-    /// What is wrong with it.
+    /// The reason for the rejection.
     #[source]
     pub error: MessageError,
 }
 
-/// Causes (Q.850) of the messages of a front.
+/// Cause values (Q.850) in the messages of a front.
 pub mod cause {
     /// A normal release.
     pub const NORMAL: u32 = 16;
-    /// The set-up failed; a caller that tries again does so at its own risk.
+    /// The set-up failed. It may have taken effect, so that a retry can set up a second call.
     pub const FAILED: u32 = 41;
-    /// The set-up was rejected: trying again is harmless.
+    /// The set-up was rejected without effect. It is safe to retry.
     pub const REFUSED: u32 = 42;
-    /// The message can't be parsed.
+    /// The message is invalid.
     pub const INVALID: u32 = 100;
 }
 
@@ -183,11 +188,11 @@
     d: Option<String>,
 }
 
-/// Parses one line.
+/// Parses one line of a caller.
 ///
 /// # Errors
 ///
-/// Where it is no message of the protocol, or lacks what its type needs.
+/// If the line is not a message of this protocol, or lacks a field that its type requires.
 pub fn parse(line: &[u8]) -> Result<CallerMessage, InvalidMessage> {
     let line: Line = serde_json::from_slice(line)
         .map_err(|error| InvalidMessage { call: None, error: MessageError::Syntax(error) })?;
@@ -220,7 +225,7 @@
         .filter(|time_left| time_left.is_finite() && *time_left > 0.0)
         .ok_or(MessageError::MissingTimeLeft)?;
     let called_number =
-        text_field(&line, "key")?.filter(|key| is_token(key)).ok_or(MessageError::MissingNumber)?;
+        text_field(&line, "key")?.filter(|key| is_token(key)).ok_or(MessageError::InvalidCalledNumber)?;
     let tenant = text_field(&line, "tenant");
     let description = line.d.ok_or(MessageError::MissingDescription)?;
     Ok(CallerMessage::SetUp(SetUpRequest {
@@ -234,7 +239,7 @@
     }))
 }
 
-/// A field of a set-up as text; none where the message does not have it.
+/// Returns a field of a set-up as text, or `None` if the message lacks it.
 fn text_field(line: &Line, name: &'static str) -> Result<Option<String>, MessageError> {
     match line.f.get(name) {
         None => Ok(None),
@@ -244,15 +249,15 @@
     }
 }
 
-/// What the extras of a set-up say.
+/// The `extras` field of a set-up: pairs `name:value`, separated by semicolons.
 enum Extras {
-    /// The call is established at that server already.
+    /// The call is already established at the server with this id.
     EstablishedAt(String),
-    /// The call is to be set up, with that destination where there is one.
+    /// The call has to be set up, at the destination if one is given.
     SetUp { destination: Option<i64> },
 }
 
-/// Figures of the extras lie below this: the numbers of servers and counts of circuits.
+/// The largest value of a numeric extra. Extras hold server numbers and circuit counts.
 const MAX_EXTRA: f64 = 1_000_000.0;
 
 fn parse_extras(line: &Line) -> Result<Extras, MessageError> {
@@ -272,18 +277,23 @@
     Ok(Extras::SetUp { destination })
 }
 
-/// A whole number from `min` to [`MAX_EXTRA`].
+/// Parses an integer from `min` to [`MAX_EXTRA`].
 fn parse_extra(name: &str, value: &str, min: f64) -> Result<f64, MessageError> {
-    let figure = value.trim().parse::<f64>().ok().filter(|figure| figure.fract() == 0.0);
-    let figure = figure.ok_or_else(|| MessageError::FractionalExtra(name.to_owned()))?;
-    if (min..=MAX_EXTRA).contains(&figure) { Ok(figure) } else { Err(MessageError::ExtraOutOfRange(figure)) }
+    let value = value.trim().parse::<f64>().ok().filter(|value| value.fract() == 0.0);
+    let value = value.ok_or_else(|| MessageError::NonIntegerExtra(name.to_owned()))?;
+    if (min..=MAX_EXTRA).contains(&value) {
+        Ok(value)
+    } else {
+        Err(MessageError::ExtraOutOfRange { value, min })
+    }
 }
 
-/// Whether a text can stand in the first line of a SIP message: visible, and nothing that would end or split it.
+/// Returns whether a text can be written into the start line of a SIP message: 1 to 256 visible ASCII characters,
+/// without delimiters of a URI or a quoted string.
 pub fn is_token(text: &str) -> bool {
     const MAX_TOKEN_LENGTH: usize = 256;
-    let is_plain = |byte: u8| byte.is_ascii_graphic() && !b"@<>\"\\;?".contains(&byte);
-    !text.is_empty() && text.len() <= MAX_TOKEN_LENGTH && text.bytes().all(is_plain)
+    let is_allowed = |byte: u8| byte.is_ascii_graphic() && !b"@<>\"\\;?".contains(&byte);
+    !text.is_empty() && text.len() <= MAX_TOKEN_LENGTH && text.bytes().all(is_allowed)
 }
 
 fn encode_line(value: &Value) -> Vec<u8> {
@@ -292,12 +302,13 @@
     line
 }
 
-/// The call is established.
+/// Encodes the message that a call is established.
 pub fn encode_established(call: CallId, description: &str) -> Vec<u8> {
     encode_line(&json!({"t": "up", "ref": call.as_str(), "f": {}, "d": description}))
 }
 
-/// The call was rejected, failed or was released, by the cause; with a time to stay away where there is one.
+/// Encodes the message that a call was rejected, failed or was released, depending on the cause. `retry_after` is the
+/// time after which the caller may retry.
 pub fn encode_down(call: CallId, cause: u32, retry_after: Option<Span>) -> Vec<u8> {
     let fields = match retry_after {
         Some(retry_after) => json!({"wait": (retry_after.micros() / 1_000).to_string()}),
@@ -306,17 +317,17 @@
     encode_line(&json!({"t": "down", "ref": call.as_str(), "f": fields, "c": cause}))
 }
 
-/// A message that names no call can't be parsed.
+/// Encodes the reply to an invalid message that has no valid call id.
 pub fn encode_invalid() -> Vec<u8> {
     encode_line(&json!({"t": "down", "ref": "", "f": {}, "c": cause::INVALID}))
 }
 
-/// A release was received.
+/// Encodes the acknowledgement of a release.
 pub fn encode_acknowledgement(call: CallId) -> Vec<u8> {
     encode_line(&json!({"t": "ack", "ref": call.as_str(), "f": {}}))
 }
 
-/// The reply to a heartbeat: whether the front is in service.
+/// Encodes the reply to a heartbeat, which says whether the front is in service.
 pub fn encode_heartbeat_reply(id: &str, in_service: bool) -> Vec<u8> {
     encode_line(&json!({"t": "hb_ok", "ref": id, "f": {}, "c": u32::from(in_service)}))
 }
--- a/crates/ochrelead-platform/src/configuration.rs
+++ b/crates/ochrelead-platform/src/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration file of a node: its name, addresses and limits, the coordinator, what is known of the servers, and
-//! the settings.
+//! The configuration file of a node: its name, addresses and resource limits, the coordinator, the initial list of
+//! servers, and the settings.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -15,34 +15,34 @@
 pub struct Configuration {
     /// The name of the node.
     pub name: String,
-    /// Where callers connect.
+    /// The address on which the node accepts callers.
     pub listen: SocketAddr,
-    /// What the node may use of its machine.
+    /// The resources that the node may use.
     pub limits: Limits,
-    /// The coordinator, where there is one.
+    /// The address of the coordinator, if there is one.
     pub coordinator: Option<SocketAddr>,
-    /// Where the datagrams of other fronts arrive.
+    /// The address on which the node receives datagrams from other fronts, if there is one.
     pub peer_listen: Option<SocketAddr>,
-    /// Where each front of the tier is reached, this one among them, by their numbers.
+    /// The addresses for datagrams to the fronts, including this one, indexed by front number.
     pub peers: Vec<SocketAddr>,
-    /// An address whose datagrams reach all fronts of the tier.
+    /// An address from which datagrams reach all fronts, if there is one.
     pub peers_all: Option<SocketAddr>,
-    /// From where to follow the coordinator's events.
+    /// The position from which to follow the coordinator's events.
     pub event_cursor: EventCursor,
-    /// The list of servers at the start, as the changes that led to it.
+    /// The changes that produce the initial list of servers.
     pub initial_changes: Vec<EndpointChange>,
-    /// The configuration of the decisions, derived from the settings.
+    /// The configuration of the controller, derived from the settings.
     pub controller_config: ControllerConfig,
     /// The settings object.
     pub settings: Settings,
 }
 
-/// What a node may use of its machine.
+/// The resources that a node may use.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Memory, in bytes.
+    /// The memory, in bytes.
     pub memory: usize,
-    /// Open sockets.
+    /// The number of open sockets.
     pub sockets: usize,
 }
 
@@ -81,7 +81,7 @@
 }
 
 impl Default for FileLimits {
-    /// The least that the platform gives to a node.
+    /// The smallest limits that the platform sets for a node.
     fn default() -> Self {
         FileLimits { memory_mb: 32.0, sockets: 256.0 }
     }
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 ///
-/// Where it is no JSON, or a part of it has another form.
+/// If the text is not valid JSON, or a field is missing or has the wrong type.
 pub fn parse(text: &str) -> Result<Configuration, serde_json::Error> {
     let file: ConfigurationFile = serde_json::from_str(text)?;
     let settings = Settings::parse(Some(&file.settings))?;
@@ -107,7 +107,7 @@
         coordinator: file.coordinator,
         peer_listen: parse_address(&file.peer_listen),
         peers: file.peers.as_array().map_or_else(Vec::new, |peers| {
-            // An address that can't be parsed keeps its place: fronts are numbered by their places.
+            // An address that can't be parsed is replaced, not dropped: the position in the list is the front number.
             peers.iter().map(|peer| parse_address(peer).unwrap_or(UNREACHABLE)).collect()
         }),
         peers_all: parse_address(&file.peers_all),
@@ -118,15 +118,15 @@
     })
 }
 
-/// An address at which nobody is.
+/// Stands for the address of a front that can't be parsed. Nothing can be reached there.
 const UNREACHABLE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// An address; none where it can't be parsed, which is no reason not to start.
+/// Parses an address. Returns `None` if that fails: the node starts without it.
 fn parse_address(value: &Value) -> Option<SocketAddr> {
     value.as_str()?.parse().ok()
 }
 
-/// A seed in hex digits; any other text still makes a number.
+/// Parses a seed of hexadecimal digits or a JSON integer. Any other string is hashed, any other value gives 0.
 fn parse_seed(value: &Value) -> u64 {
     let hash = |text: &str| {
         text.bytes().fold(0, |seed: u64, byte| seed.wrapping_mul(31).wrapping_add(u64::from(byte)))
--- a/crates/ochrelead-platform/src/events.rs
+++ b/crates/ochrelead-platform/src/events.rs
@@ -1,4 +1,5 @@
-//! The coordinator's numbered events: the list of signalling servers, and from where to resume it.
+//! The coordinator's numbered events, which maintain the list of signalling servers, and the position from which to
+//! resume them.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -9,59 +10,61 @@
 use ochrelead_core::time::Moment;
 use ochrelead_core::types::EndpointState;
 
-/// One signalling server as an event names it.
+/// A signalling server as an event describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its id, the same for as long as the server is listed.
+    /// The id of the server, which stays the same while the server is listed.
     pub id: String,
-    /// Where it takes connections.
+    /// The address on which the server accepts connections.
     pub address: SocketAddr,
-    /// Its number, by which sessions name the server of first choice; -1 where the event has none.
+    /// The number by which a set-up names the server as its destination; -1 if the event has none.
     pub number: i64,
-    /// Whether it is in service.
+    /// Whether the server is in service, draining or removed.
     pub state: EndpointState,
-    /// Its part of weighted draws; above zero, 1 by default.
+    /// The weight of the server in weighted draws; above 0, 1 by default.
     pub weight: f64,
-    /// The zone that it is in, by name or number, where the event has one.
+    /// The zone of the server, by name or number, if the event has one.
     pub zone: Option<String>,
 }
 
-/// A change of the list of servers.
+/// A change to the list of servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointChange {
-    /// Whether it replaces the whole list; otherwise it changes the servers that it names.
+    /// Whether the change replaces the whole list. Otherwise it adds or updates the servers in `endpoints` only.
     pub is_full: bool,
-    /// The servers that it names.
+    /// The servers that are listed, updated or removed.
     pub endpoints: Vec<Endpoint>,
 }
 
 impl EndpointChange {
-    /// The whole list that changes in a row lead to; `None` where none of them is the whole list.
+    /// Returns the list that results from consecutive changes, starting at the last full one. Returns `None` if none of
+    /// them is full.
     pub fn merge(changes: &[EndpointChange]) -> Option<EndpointChange> {
         let last_full = changes.iter().rposition(|change| change.is_full)?;
         let mut endpoints: Vec<Endpoint> = Vec::new();
-        for changed in changes[last_full..].iter().flat_map(|change| &change.endpoints) {
-            endpoints.retain(|endpoint| endpoint.id != changed.id);
-            if changed.state != EndpointState::Gone {
-                endpoints.push(changed.clone());
+        for update in changes[last_full..].iter().flat_map(|change| &change.endpoints) {
+            endpoints.retain(|endpoint| endpoint.id != update.id);
+            if update.state != EndpointState::Gone {
+                endpoints.push(update.clone());
             }
         }
         Some(EndpointChange { is_full: true, endpoints })
     }
 }
 
-/// The effect of one line of the coordinator.
+/// The effect of one line from the coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EventOutcome {
     /// The list of servers changes.
     Changed(EndpointChange),
-    /// Nothing changes: an event or a number that is known already.
+    /// Nothing changes: the line has an earlier index or repeats the last event.
     Unchanged,
-    /// The number of the last event known, alone: there are no later ones.
+    /// The line is the index of the last known event without an event: there are no later events.
     UpToDate,
-    /// A later number alone: there are events that have not come. They may still come.
+    /// The line is a later index without an event: there are events that have not arrived. They may still arrive.
     Behind,
-    /// A later event than the next, without the whole list: those between have to be requested again.
+    /// The line is an event that skips at least one index and does not hold the full list. The skipped events have to
+    /// be requested again.
     Gap,
 }
 
@@ -95,15 +98,15 @@
     started_at_ms: Option<f64>,
 }
 
-/// The position in the coordinator's events: the last one that is known.
+/// The position in the coordinator's events: the index of the last known event.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventCursor {
     last_index: u64,
 }
 
 impl EventCursor {
-    /// The cursor after the events of the configuration, and their changes. An event that can't be parsed is skipped with
-    /// all after it: the coordinator is asked for those again.
+    /// Returns the cursor after the events that the configuration holds, and their changes. Stops at the first event
+    /// that can't be parsed, so that the coordinator sends it and all later ones again.
     pub fn from_known_events(known: &Value) -> (EventCursor, Vec<EndpointChange>) {
         let mut cursor = EventCursor::default();
         let mut changes = Vec::new();
@@ -121,33 +124,33 @@
         (cursor, changes)
     }
 
-    /// The number of the last event that is known.
+    /// Returns the index of the last known event.
     pub fn last_index(&self) -> u64 {
         self.last_index
     }
 
-    /// The request for the events after the cursor, as a line to the coordinator.
+    /// Encodes the request to the coordinator for all events after the cursor, as one line.
     pub fn request(&self) -> String {
         format!("follow {}\n", self.last_index)
     }
 
-    /// Parses a whole line of the coordinator, which holds an event or a number alone, by itself or as an event's index,
-    /// and advances over its event.
+    /// Parses a complete line from the coordinator and advances the cursor past its event. A line holds an event, or
+    /// an event index without an event: a bare number, or an object with `index` only.
     ///
     /// # Errors
     ///
-    /// Where the line is neither a number nor an event; the cursor stays.
+    /// If the line is neither an index nor an event. The cursor does not change.
     pub fn handle_line(&mut self, line: &[u8]) -> Result<EventOutcome, serde_json::Error> {
         let event = match serde_json::from_slice(line) {
             Ok(index) => Event { index, endpoints: None },
             Err(_) => serde_json::from_slice(line)?,
         };
-        let is_number = event.endpoints.is_none();
-        let is_full = event.endpoints.as_ref().is_some_and(|listed| listed.reset);
+        let is_index_only = event.endpoints.is_none();
+        let is_full = event.endpoints.as_ref().is_some_and(|endpoints| endpoints.reset);
         match event.index.cmp(&self.last_index) {
-            Ordering::Equal if is_number => return Ok(EventOutcome::UpToDate),
+            Ordering::Equal if is_index_only => return Ok(EventOutcome::UpToDate),
             Ordering::Less | Ordering::Equal => return Ok(EventOutcome::Unchanged),
-            Ordering::Greater if is_number => return Ok(EventOutcome::Behind),
+            Ordering::Greater if is_index_only => return Ok(EventOutcome::Behind),
             Ordering::Greater if event.index > self.last_index + 1 && !is_full => {
                 return Ok(EventOutcome::Gap);
             }
@@ -162,10 +165,9 @@
 
 impl Event {
     fn into_change(self) -> Result<Option<EndpointChange>, serde_json::Error> {
-        let Some(listed) = self.endpoints else { return Ok(None) };
-        let endpoints =
-            listed.instances.into_iter().map(EventInstance::into_endpoint).collect::<Result<_, _>>()?;
-        Ok(Some(EndpointChange { is_full: listed.reset, endpoints }))
+        let Some(EventEndpoints { reset, instances }) = self.endpoints else { return Ok(None) };
+        let endpoints = instances.into_iter().map(EventInstance::into_endpoint).collect::<Result<_, _>>()?;
+        Ok(Some(EndpointChange { is_full: reset, endpoints }))
     }
 }
 
@@ -177,7 +179,11 @@
             "up" => EndpointState::Ready { started },
             "draining" => EndpointState::Draining,
             "removed" => EndpointState::Gone,
-            other => return Err(serde::de::Error::custom(format!("unknown lifecycle {other}"))),
+            other => {
+                return Err(serde::de::Error::custom(format!(
+                    "lifecycle is {other:?}; it must be up, draining or removed"
+                )));
+            }
         };
         let zone = match self.zone {
             Value::String(name) => Some(name),
--- a/crates/ochrelead-platform/src/lib.rs
+++ b/crates/ochrelead-platform/src/lib.rs
@@ -1,11 +1,11 @@
-//! The operators' platform as seen by a front, without I/O: the messages of callers, the coordinator's events and the
-//! node's configuration are parsed, and the messages to callers are encoded.
+//! The formats of the operators' platform, without I/O. Parses the messages of callers, the coordinator's events and
+//! the configuration of a node, and encodes the messages to callers.
 //!
-//! - [`settings`]: the settings object, the same that the simulator hands out; one parser for adapter and node.
+//! - [`settings`]: the settings object, which both a node and the adapter of the platform's simulator receive.
 //! - [`configuration`]: the configuration file of a node.
-//! - [`events`]: the numbered events of the coordinator, and from where to resume them.
-//! - [`line_splitter`]: a byte stream split into lines of bounded length.
-//! - [`caller_messages`]: what a caller's line says, and the lines that answer it.
+//! - [`events`]: the numbered events of the coordinator, and the position from which to resume them.
+//! - [`line_splitter`]: splits a byte stream into lines of bounded length.
+//! - [`caller_messages`]: the messages of callers, and the messages that answer them.
 //!
 //! ```
 //! use ochrelead_platform::caller_messages::{CallerMessage, parse};
@@ -24,5 +24,5 @@
 pub mod line_splitter;
 pub mod settings;
 
-/// The longest message, in bytes.
+/// The maximum length of a message, in bytes.
 pub const MAX_MESSAGE_LENGTH: usize = 16 * 1024;
--- a/crates/ochrelead-platform/src/line_splitter.rs
+++ b/crates/ochrelead-platform/src/line_splitter.rs
@@ -1,15 +1,15 @@
-//! A byte stream split into lines. What is buffered never exceeds one line of the longest allowed length.
+//! Splits a byte stream into lines. The buffer never exceeds one line of the maximum length.
 
 use std::collections::VecDeque;
 
 use crate::MAX_MESSAGE_LENGTH;
 
-/// The stream can't be read any further: a line is longer than any message.
+/// A line exceeds the maximum message length. The rest of the stream is discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a line of more than {MAX_MESSAGE_LENGTH} bytes")]
+#[error("line exceeds the maximum message length of {MAX_MESSAGE_LENGTH} bytes")]
 pub struct LineTooLong;
 
-/// Splits a stream into lines and buffers its unfinished end.
+/// Splits a stream into lines and buffers an incomplete last line.
 #[derive(Debug, Default)]
 pub struct LineSplitter {
     partial_line: Vec<u8>,
@@ -17,8 +17,8 @@
 }
 
 impl LineSplitter {
-    /// The lines that these bytes complete, without their line ends; empty lines are skipped. After
-    /// [`LineTooLong`] nothing more is read.
+    /// Returns the lines that these bytes complete, without their line endings. Empty lines are skipped. After
+    /// [`LineTooLong`], all further input is discarded and every call returns that error.
     pub fn push(&mut self, bytes: &[u8]) -> (VecDeque<Vec<u8>>, Result<(), LineTooLong>) {
         let mut lines = VecDeque::new();
         let mut remaining = bytes;
@@ -36,7 +36,7 @@
         (lines, if self.failed { Err(LineTooLong) } else { Ok(()) })
     }
 
-    /// Buffers a part of a line, unless the line gets too long: then the buffer is released.
+    /// Buffers a part of a line. If the line becomes too long, marks the stream as failed and frees the buffer.
     fn append(&mut self, part: &[u8]) {
         self.failed = self.partial_line.len() + part.len() > MAX_MESSAGE_LENGTH;
         if self.failed {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The buffered line without its carriage return; none where it is empty.
+    /// Takes the buffered line without its carriage return. Returns `None` if it is empty.
     fn complete_line(&mut self) -> Option<Vec<u8>> {
         let mut line = std::mem::take(&mut self.partial_line);
         if line.last() == Some(&b'\r') {
@@ -55,7 +55,7 @@
         (!line.is_empty()).then_some(line)
     }
 
-    /// Whether a line has begun and not ended.
+    /// Returns whether an incomplete line is buffered.
     pub fn has_partial_line(&self) -> bool {
         !self.partial_line.is_empty()
     }
--- a/crates/ochrelead-platform/src/settings.rs
+++ b/crates/ochrelead-platform/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings object of the platform, and the controller's configuration derived from it. The bench's adapter gets the
-//! object in its first message, the node in its configuration file; both parse it here.
+//! The settings object of the platform, and the controller configuration derived from it. The adapter of the simulator
+//! receives the object in its first message, a node in its configuration file.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -7,12 +7,12 @@
 use ochrelead_core::config::{ControllerConfig, Service, Tenant};
 use ochrelead_core::time::Span;
 
-/// The settings object. Its field names are the platform's.
+/// The settings object. The field names are those of the platform's JSON.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Settings {
     balancers: u32,
-    /// This front's number among its peers.
+    /// The number of this front among its peers.
     index: Option<u32>,
     request_classes: Vec<RequestClass>,
     orgs: Vec<Org>,
@@ -20,10 +20,10 @@
     rules: Rules,
     family_info: FamilyInfo,
     over_share_worth: f64,
-    /// The zone of this front, as a place in `zones`.
+    /// The zone of this front, as an index into `zones`.
     az: Option<u32>,
     zones: Vec<String>,
-    /// How the list of servers reaches a front.
+    /// The method by which a front receives the list of servers, such as `on_request`.
     pub discovery: String,
     tick_ms: f64,
 }
@@ -80,17 +80,17 @@
     Span::from_micros((ms.max(0.0) * 1_000.0).round() as u64)
 }
 
-/// A span that is not set is written as zero.
+/// Returns the span, or `None` for 0 or less, which means that it is not set.
 fn optional_span(ms: f64) -> Option<Span> {
     (ms > 0.0).then(|| span_from_millis(ms))
 }
 
 impl Settings {
-    /// Parses the object; defaults where there is none.
+    /// Parses the settings object. Returns the defaults if there is none.
     ///
     /// # Errors
     ///
-    /// Where the object, or a part of it, has another form.
+    /// If the object or one of its fields has the wrong type.
     pub fn parse(object: Option<&Value>) -> Result<Settings, serde_json::Error> {
         match object {
             None | Some(Value::Null) => Ok(Settings::default()),
@@ -98,57 +98,61 @@
         }
     }
 
-    /// The names of the services, in the order of their indices, each with the longest time that a caller waits.
+    /// Returns the name and the deadline of each service, ordered by service index. The deadline is the longest time
+    /// that a caller waits for an answer.
     pub fn services(&self) -> impl Iterator<Item = (&str, Span)> {
         self.request_classes.iter().map(|class| (class.name.as_str(), span_from_millis(class.deadline_ms)))
     }
 
-    /// The names of the tenants, in the order of their indices.
+    /// Returns the names of the tenants, ordered by tenant index.
     pub fn tenants(&self) -> impl Iterator<Item = &str> {
         self.orgs.iter().map(|org| org.name.as_str())
     }
 
-    /// The most sessions that a front may hold; none where the settings do not say.
+    /// Returns the maximum number of sessions that a front may hold, or `None` if the settings don't limit it.
     pub fn max_sessions(&self) -> Option<usize> {
         (self.limits.most_held >= 1.0).then_some(self.limits.most_held as usize)
     }
 
-    /// A connection that is not established by then has failed.
+    /// Returns the time after which a connection attempt fails, or `None` if it is not set.
     pub fn connect_timeout(&self) -> Option<Span> {
         optional_span(self.limits.connect_timeout_ms)
     }
 
-    /// After what idle time the other side closes a connection; none where the settings do not say.
+    /// Returns the idle time after which the remote side closes a connection, or `None` if it is not set.
     pub fn connection_idle_timeout(&self) -> Option<Span> {
         optional_span(self.limits.conn_idle_ms)
     }
 
-    /// How long a server that drains or is gone may still be sent something new; none where the settings do not say.
+    /// Returns how long new requests may still be sent to a server that is draining or removed, or `None` if it is
+    /// not set.
     pub fn drain_grace(&self) -> Option<Span> {
         optional_span(self.rules.stop_sending_within_ms)
     }
 
-    /// The number of this front among its peers, where fronts may send each other messages.
+    /// Returns the number of this front among its peers, or `None` if it is not set or fronts must not
+    /// exchange messages.
     pub fn peer_number(&self) -> Option<u32> {
         self.index.filter(|_| self.limits.peers)
     }
 
-    /// The names of the zones, in the order of their numbers.
+    /// Returns the names of the zones, ordered by zone number.
     pub fn zones(&self) -> &[String] {
         &self.zones
     }
 
-    /// The number of the zone that this front is in, where there are several.
+    /// Returns the number of this front's zone, or `None` if there are fewer than two zones or the number is not one
+    /// of them.
     pub fn local_zone(&self) -> Option<u32> {
         self.az.filter(|zone| self.zones.len() > 1 && (*zone as usize) < self.zones.len())
     }
 
-    /// Whether fronts may send each other messages.
+    /// Returns whether fronts may exchange messages.
     pub fn allows_peer_messages(&self) -> bool {
         self.limits.peers
     }
 
-    /// The configuration of the decisions.
+    /// Returns the configuration of the controller.
     pub fn controller_config(&self, seed: u64) -> ControllerConfig {
         let services = self.request_classes.iter().enumerate();
         let limits = &self.limits;
--- a/crates/ochrelead-platform/tests/configuration.rs
+++ b/crates/ochrelead-platform/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! A node's configuration file is parsed or rejected.
+//! Tests the parsing of a node's configuration file.
 
 mod event;
 
@@ -9,7 +9,7 @@
 use test_case::test_case;
 
 #[test]
-fn configuration_is_parsed_with_its_settings() {
+fn configuration_and_settings_are_parsed() {
     let text = json!({"name": "n3", "listen": "127.0.0.4:5080", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 48, "sockets": 384}, "coordinator": "127.2.0.1:8500", "new": [],
         "known": {"index": 1, "updates": [event(1, "s-1", "up")]},
@@ -28,9 +28,9 @@
     );
 }
 
-#[test_case("{"; "half a file")]
-#[test_case("{}"; "nothing to listen on")]
-#[test_case("{\"listen\":\"nowhere\"}"; "no address")]
+#[test_case("{"; "truncated file")]
+#[test_case("{}"; "listen address missing")]
+#[test_case("{\"listen\":\"nowhere\"}"; "listen address invalid")]
 fn invalid_configuration_is_rejected(text: &str) {
     assert!(configuration::parse(text).is_err());
 }
