--- a/crates/ochrelead-sip/src/framing.rs
+++ b/crates/ochrelead-sip/src/framing.rs
@@ -1,54 +1,55 @@
-//! A byte stream split into messages. A stated length is checked before anything is buffered for it, and what is
-//! buffered never exceeds the longest message and one read.
+//! Splits a byte stream into messages. `Content-Length` is checked before its body is awaited, so that the buffer never
+//! exceeds the maximum message length plus one read.
 
 use crate::MAX_MESSAGE_LENGTH;
 use crate::message::{Message, StartLine};
 
-/// The end of a head: an empty line.
+/// Ends a message head: the end of the last header line and an empty line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Why a stream can't be read any further: nothing tells where its next message begins.
+/// The reason for which a stream can't be read any further: the start of the next message is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum FramingError {
-    /// The head is no SIP.
-    #[error("a head that is no SIP")]
+    /// The message head is not valid SIP.
+    #[error("message head is not valid SIP")]
     InvalidHead,
-    /// The head states no length of the body.
-    #[error("no length, or none that is a number")]
+    /// `Content-Length` is missing, is not a number, or occurs with different values.
+    #[error("Content-Length is missing, not a number or ambiguous")]
     InvalidLength,
-    /// The message is longer than any is allowed to be.
-    #[error("longer than {MAX_MESSAGE_LENGTH} bytes")]
+    /// The message exceeds the maximum length.
+    #[error("message exceeds the maximum length of {MAX_MESSAGE_LENGTH} bytes")]
     TooLong,
 }
 
-/// A head that was parsed, and where in the buffer its body lies.
+/// A message whose head is parsed, and the range of its body in the buffer.
 #[derive(Debug)]
 struct PendingBody {
     message: Message,
-    start: usize,
-    end: usize,
+    body_start: usize,
+    body_end: usize,
 }
 
-/// Splits a stream into messages and buffers its unfinished end.
+/// Splits a stream into messages and buffers an incomplete last message.
 #[derive(Debug, Default)]
 pub struct Framer {
     buffer: Vec<u8>,
     pending_body: Option<PendingBody>,
-    /// Where the search for the end of the head goes on.
-    searched: usize,
+    /// The offset up to which the buffer has been searched for the end of the head.
+    searched_to: usize,
     error: Option<FramingError>,
 }
 
 impl Framer {
-    /// Buffers what was read from the stream.
+    /// Buffers bytes read from the stream. After an error they are discarded.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.error.is_none() {
             self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// The next whole message; none where more has to be read first. After an error there is nothing but that error.
+    /// Returns the next complete message, or `None` if more input is needed. After an error, every call returns that
+    /// error.
     pub fn next_message(&mut self) -> Option<Result<Message, FramingError>> {
         if let Some(error) = self.error {
             return Some(Err(error));
@@ -69,15 +70,15 @@
                 None => return Ok(None),
             },
         };
-        if self.buffer.len() < pending.end {
+        if self.buffer.len() < pending.body_end {
             self.pending_body = Some(pending);
             return Ok(None);
         }
-        let PendingBody { mut message, start, end } = pending;
-        message.body = self.buffer[start..end].to_vec();
-        self.buffer.drain(..end);
-        self.searched = 0;
-        // A length that is too short leaves a piece of the body where the next message should begin.
+        let PendingBody { mut message, body_start, body_end } = pending;
+        message.body = self.buffer[body_start..body_end].to_vec();
+        self.buffer.drain(..body_end);
+        self.searched_to = 0;
+        // If Content-Length is too small, the rest of the body stands where the next message must begin.
         self.check_next_message()?;
         if self.buffer.is_empty() && self.buffer.capacity() > MAX_MESSAGE_LENGTH / 4 {
             self.buffer = Vec::new();
@@ -85,14 +86,14 @@
         Ok(Some(message))
     }
 
-    /// Parses the head at the begin of the buffer; none where its end has not been read yet.
+    /// Parses the head at the start of the buffer. Returns `None` if the head is incomplete.
     fn parse_head(&mut self) -> Result<Option<PendingBody>, FramingError> {
         self.skip_empty_lines();
-        let from = self.searched.min(self.buffer.len());
-        let found = self.buffer[from..].windows(HEAD_END.len()).position(|window| window == HEAD_END);
-        let Some(offset) = found else {
-            self.searched = self.buffer.len().saturating_sub(HEAD_END.len() - 1);
-            self.check_first_line()?;
+        let from = self.searched_to.min(self.buffer.len());
+        let offset = self.buffer[from..].windows(HEAD_END.len()).position(|window| window == HEAD_END);
+        let Some(offset) = offset else {
+            self.searched_to = self.buffer.len().saturating_sub(HEAD_END.len() - 1);
+            self.check_start_line()?;
             let too_long = self.buffer.len() > MAX_MESSAGE_LENGTH;
             return if too_long { Err(FramingError::TooLong) } else { Ok(None) };
         };
@@ -101,47 +102,48 @@
             return Err(FramingError::TooLong);
         }
         let message = Message::parse_head(&self.buffer[..head_end])?;
-        let length = message.content_length()?;
-        let start = head_end + HEAD_END.len();
-        if length > MAX_MESSAGE_LENGTH || start + length > MAX_MESSAGE_LENGTH {
+        let body_length = message.content_length()?;
+        let body_start = head_end + HEAD_END.len();
+        if body_length > MAX_MESSAGE_LENGTH || body_start + body_length > MAX_MESSAGE_LENGTH {
             return Err(FramingError::TooLong);
         }
-        Ok(Some(PendingBody { message, start, end: start + length }))
+        Ok(Some(PendingBody { message, body_start, body_end: body_start + body_length }))
     }
 
-    /// Empty lines between messages keep a connection open and mean nothing.
+    /// Skips empty lines between messages. Peers send them as keep-alives.
     fn skip_empty_lines(&mut self) {
         let length = empty_lines_length(&self.buffer);
         if length > 0 {
             self.buffer.drain(..length);
-            self.searched = 0;
+            self.searched_to = 0;
         }
     }
 
-    /// A head whose first line can't be SIP is an error at once: its end may never be read.
-    fn check_first_line(&self) -> Result<(), FramingError> {
+    /// Checks an incomplete head: its start line must be printable ASCII. Input that is not SIP is rejected at once,
+    /// because the end of its head may never arrive.
+    fn check_start_line(&self) -> Result<(), FramingError> {
         let line = self.buffer.split(|byte| *byte == b'\r').next().unwrap_or_default();
-        let is_plain = |byte: &u8| (b' '..=b'~').contains(byte);
-        if line.iter().all(is_plain) { Ok(()) } else { Err(FramingError::InvalidHead) }
+        let is_printable = |byte: &u8| (b' '..=b'~').contains(byte);
+        if line.iter().all(is_printable) { Ok(()) } else { Err(FramingError::InvalidHead) }
     }
 
-    /// Whether what follows a message can be the begin of another.
+    /// Checks that the bytes after a message can be the start of another one.
     fn check_next_message(&self) -> Result<(), FramingError> {
-        let rest = &self.buffer[empty_lines_length(&self.buffer)..];
-        match rest.windows(2).position(|window| window == b"\r\n") {
-            Some(end) => StartLine::parse_bytes(&rest[..end]).map(|_| ()),
-            None if rest.first().is_none_or(u8::is_ascii_uppercase) => self.check_first_line(),
+        let next = &self.buffer[empty_lines_length(&self.buffer)..];
+        match next.windows(2).position(|window| window == b"\r\n") {
+            Some(line_end) => StartLine::parse_bytes(&next[..line_end]).map(|_| ()),
+            None if next.first().is_none_or(u8::is_ascii_uppercase) => self.check_start_line(),
             None => Err(FramingError::InvalidHead),
         }
     }
 
-    /// Whether a message has begun and not ended.
+    /// Returns whether an incomplete message is buffered.
     pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
 
-/// How many bytes of empty lines are at the begin.
+/// Returns the number of bytes that empty lines occupy at the start.
 fn empty_lines_length(bytes: &[u8]) -> usize {
     bytes.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count()
 }
--- a/crates/ochrelead-sip/src/lib.rs
+++ b/crates/ochrelead-sip/src/lib.rs
@@ -1,7 +1,7 @@
-//! SIP (RFC 3261) over a byte stream, as far as a front needs it, without I/O.
+//! The subset of SIP (RFC 3261) over byte streams that a front needs, without I/O.
 //!
-//! - [`message`]: the first line, headers and body of a message, and how it is encoded.
-//! - [`framing`]: a byte stream split into messages of bounded length.
+//! - [`message`]: messages with start line, headers and body, and their encoding.
+//! - [`framing`]: splits a byte stream into messages of bounded length.
 //!
 //! ```
 //! use ochrelead_sip::framing::Framer;
@@ -19,5 +19,5 @@
 pub mod framing;
 pub mod message;
 
-/// The longest message, in bytes, head and body together.
+/// The maximum length of a message, head and body together, in bytes.
 pub const MAX_MESSAGE_LENGTH: usize = 16 * 1024;
--- a/crates/ochrelead-sip/src/message.rs
+++ b/crates/ochrelead-sip/src/message.rs
@@ -1,11 +1,12 @@
-//! One message.
+//! SIP messages.
 
 use std::fmt::Write;
 
 use crate::framing::FramingError;
 
 const SIP_VERSION: &str = "SIP/2.0";
-/// The methods that are registered for SIP. Another word is the rest of a message that was cut off.
+/// The methods that are registered for SIP. Any other word at the start of a line is taken for the remainder of a
+/// truncated message.
 const METHODS: [&str; 14] = [
     "ACK",
     "BYE",
@@ -23,30 +24,30 @@
     "UPDATE",
 ];
 
-/// The first line.
+/// The start line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartLine {
-    /// The first line of a request.
+    /// The start line of a request.
     Request {
-        /// Its method, in capitals.
+        /// The method, in capital letters.
         method: String,
-        /// Its request URI.
+        /// The request URI.
         uri: String,
     },
-    /// The first line of a response.
+    /// The status line of a response.
     Response {
-        /// Its status code, 100 to 699.
+        /// The status code, 100 to 699.
         code: u16,
     },
 }
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The first line.
+    /// The start line.
     pub start: StartLine,
     headers: Vec<Header>,
-    /// The body, of the length that the head states.
+    /// The body, of the length given by `Content-Length`.
     pub body: Vec<u8>,
 }
 
@@ -71,14 +72,14 @@
 }
 
 impl Message {
-    /// Parses the head of a message, without the empty line at its end; the body is still to come.
+    /// Parses the head of a message, without the empty line that ends it. The body of the result is empty.
     pub(crate) fn parse_head(head: &[u8]) -> Result<Message, FramingError> {
         let head = std::str::from_utf8(head).map_err(|_| FramingError::InvalidHead)?;
         let mut lines = head.split("\r\n");
         let start = StartLine::parse(lines.next().unwrap_or_default())?;
         let headers = lines.map(Header::parse).collect::<Result<_, _>>()?;
         let message = Message { start, headers, body: Vec::new() };
-        // Two heads in one: the first was cut off.
+        // A repeated Call-ID or CSeq means that the first message was truncated and another one follows in its head.
         let is_repeated = |name: &&str| message.count(name) > 1;
         if [header::CALL_ID, header::CSEQ].iter().any(is_repeated) {
             return Err(FramingError::InvalidHead);
@@ -90,13 +91,13 @@
         self.headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name)).count()
     }
 
-    /// The value of a header; the case of its name does not matter.
+    /// Returns the value of the first header with this name. Names are compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let header = self.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
         Some(&header.value)
     }
 
-    /// The length of the body as the head states it. A head without one, or with two that differ, is invalid.
+    /// Returns the value of `Content-Length`. A head without it, or with different values of it, is invalid.
     pub(crate) fn content_length(&self) -> Result<usize, FramingError> {
         let mut lengths = self.headers.iter().filter(|header| header.is_content_length());
         let first = &lengths.next().ok_or(FramingError::InvalidLength)?.value;
@@ -106,13 +107,13 @@
         first.parse().map_err(|_| FramingError::InvalidLength)
     }
 
-    /// The number and the method of `CSeq`.
+    /// Returns the sequence number and the method of `CSeq`, or `None` if it is missing or malformed.
     pub fn sequence(&self) -> Option<(u32, &str)> {
         let (number, method) = self.header(header::CSEQ)?.split_once(' ')?;
         Some((number.trim().parse().ok()?, method.trim()))
     }
 
-    /// The Q.850 cause of a release.
+    /// Returns the Q.850 cause value of the `Reason` header, or `None` if it has none.
     pub fn cause(&self) -> Option<u32> {
         let reason = self.header(header::REASON)?;
         let parse_cause = |part: &str| part.trim().strip_prefix("cause=")?.trim().parse().ok();
@@ -123,8 +124,8 @@
 impl Header {
     fn parse(line: &str) -> Result<Header, FramingError> {
         let (name, value) = line.split_once(':').ok_or(FramingError::InvalidHead)?;
-        let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
-        if name.is_empty() || !name.bytes().all(is_plain) || value.bytes().any(|byte| byte < b' ') {
+        let is_name_byte = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+        if name.is_empty() || !name.bytes().all(is_name_byte) || value.bytes().any(|byte| byte < b' ') {
             return Err(FramingError::InvalidHead);
         }
         Ok(Header { name: name.to_owned(), value: value.trim().to_owned() })
@@ -146,9 +147,10 @@
         let first = words.next().unwrap_or_default();
         let second = words.next().ok_or(FramingError::InvalidHead)?;
         if first == SIP_VERSION {
-            // Another first line in place of a reason: the response was cut off.
-            let is_cut_off = words.any(|word| word == SIP_VERSION);
-            return if is_cut_off {
+            // A second version in the reason phrase means that the response was truncated and another start line
+            // follows.
+            let is_truncated = words.any(|word| word == SIP_VERSION);
+            return if is_truncated {
                 Err(FramingError::InvalidHead)
             } else {
                 StartLine::parse_response(second)
@@ -167,11 +169,11 @@
     }
 }
 
-/// Encodes a message: the first line, the headers, the length of the body, and the body.
-pub fn encode(first_line: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    const USUAL_HEAD_LENGTH: usize = 256;
-    let mut head = String::with_capacity(USUAL_HEAD_LENGTH);
-    head.push_str(first_line);
+/// Encodes a message from its start line, headers and body. Adds the `Content-Length` header.
+pub fn encode(start_line: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+    const INITIAL_HEAD_CAPACITY: usize = 256;
+    let mut head = String::with_capacity(INITIAL_HEAD_CAPACITY);
+    head.push_str(start_line);
     head.push_str("\r\n");
     for (name, value) in headers {
         // Writing to a string does not fail.
