--- a/crates/ochrelead-host/src/call_policy.rs
+++ b/crates/ochrelead-host/src/call_policy.rs
@@ -1,4 +1,4 @@
-//! What a host asks of whoever decides on sessions.
+//! The interface between a host and the policy that decides on sessions.
 
 use ochrelead_core::controller::Controller;
 use ochrelead_core::index::{ServerIx, ServiceIx, SessionIx};
@@ -8,15 +8,16 @@
     ServerSnapshot,
 };
 
-/// Decides on sessions; chosen when a host starts. The methods mean the same as those of [`Controller`].
+/// Decides on sessions. A host is given its policy at the start. The methods correspond to those of [`Controller`].
 pub trait CallPolicy {
-    /// Sets the clock; called before anything else of a turn.
+    /// Sets the current time. The host calls it first in each iteration of its event loop.
     fn advance_to(&mut self, now: Moment);
-    /// A caller asks for a session.
+    /// Handles a caller's request for a session.
     fn on_call_request(&mut self, session: SessionIx, request: CallRequest);
-    /// The session's INVITE was answered.
+    /// Handles a session whose INVITE has been answered.
     fn on_call_established(&mut self, session: SessionIx);
-    /// An INVITE, or the call that it set up, has ended. `is_final`: the session has its answer.
+    /// Handles the end of an INVITE, or of the call that it set up. `is_final` means that the session has its final
+    /// answer.
     fn on_invite_ended(
         &mut self,
         session: SessionIx,
@@ -24,27 +25,27 @@
         outcome: InviteOutcome,
         is_final: bool,
     );
-    /// The caller has gone, or the session was answered elsewhere.
+    /// Handles a session whose caller has gone, or which was answered elsewhere.
     fn on_caller_gone(&mut self, session: SessionIx);
-    /// An update of the endpoints; `is_complete` where it names all servers there are.
+    /// Handles an update of the endpoint list. `is_complete` means that it names all servers.
     fn on_endpoints(&mut self, is_complete: bool, updates: &[EndpointUpdate]);
-    /// The numbers of the servers that serve a service from now on; any where none is named.
+    /// Sets the numbers of the servers that serve a service from now on. If there are none, any server does.
     fn on_service_servers(&mut self, service: ServiceIx, servers: &[i64]);
-    /// A server reports its lines.
+    /// Handles a server's report of its lines.
     fn on_line_capacity(&mut self, server: ServerIx, lines: LineCapacity);
-    /// A server reports the load of its processor.
+    /// Handles a server's report of its processor load.
     fn on_load_report(&mut self, server: ServerIx, report: LoadReport);
-    /// The share of the sessions that a server admits from now on; a policy may ignore it.
+    /// Sets the share of the sessions that may go to a server from now on. A policy may ignore it.
     fn on_zone_share(&mut self, _server: ServerIx, _share: f64) {}
-    /// The next decision, until there is none left for this turn.
+    /// Returns the next decision, or `None` if there is no more for this iteration.
     fn next_decision(&mut self) -> Option<Decision>;
-    /// When the host is to come again although nothing happens.
+    /// Returns the time at which the host has to call again if nothing happens before.
     fn poll_timeout(&mut self) -> Option<Moment>;
-    /// Why the last decision was made, where the policy says.
+    /// Returns the reason for the last decision, if the policy records it.
     fn last_reason(&self) -> Option<DecisionReason> {
         None
     }
-    /// The present state of a server, where the policy says.
+    /// Returns the present state of a server, if the policy keeps it.
     fn server_snapshot(&self, _server: ServerIx) -> Option<ServerSnapshot> {
         None
     }
--- a/crates/ochrelead-host/src/called_numbers.rs
+++ b/crates/ochrelead-host/src/called_numbers.rs
@@ -1,27 +1,29 @@
-//! Called numbers by index. The table is bounded: a new number takes the index of the one that was called longest ago.
+//! A bounded table that assigns indices to called numbers. If it is full, a new number takes the index of the least
+//! recently called one.
 
 use std::collections::{BTreeMap, HashMap};
 
 use ochrelead_core::index::CalledNumberIx;
 
-/// The called numbers that are remembered at once.
+/// Assigns indices to called numbers and evicts the least recently called number.
 pub struct CalledNumberTable {
     capacity: usize,
     entries: HashMap<String, Entry>,
-    /// The numbers by the sequence number of their last call.
+    /// The called numbers by the sequence number of their last call, the least recent first.
     by_last_call: BTreeMap<u64, String>,
+    /// The number of calls so far, which is the sequence number of the last one.
     calls: u64,
 }
 
 #[derive(Clone, Copy)]
 struct Entry {
     index: CalledNumberIx,
-    /// The sequence number of its last call.
+    /// The sequence number of the last call to this number.
     last_call: u64,
 }
 
 impl CalledNumberTable {
-    /// An empty table for so many numbers, but one at the least.
+    /// Creates an empty table for `capacity` numbers, at least one.
     pub fn new(capacity: usize) -> CalledNumberTable {
         CalledNumberTable {
             capacity: capacity.max(1),
@@ -31,7 +33,8 @@
         }
     }
 
-    /// The index of a number that is called now. A new one may get the index of the one called longest ago.
+    /// Records a call to a number and returns the number's index. If the table is full, a new number takes the index
+    /// of the least recently called one.
     pub fn index(&mut self, digits: &str) -> CalledNumberIx {
         self.calls += 1;
         let index = match self.entries.get(digits) {
@@ -40,27 +43,27 @@
                 entry.index
             }
             None if self.entries.len() < self.capacity => CalledNumberIx::new(self.entries.len()),
-            None => self.remove_oldest(),
+            None => self.evict_least_recent(),
         };
         self.entries.insert(digits.to_owned(), Entry { index, last_call: self.calls });
         self.by_last_call.insert(self.calls, digits.to_owned());
         index
     }
 
-    /// How many numbers the table holds.
+    /// Returns the count of numbers in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no number has been called yet.
+    /// Returns whether no number has been called yet.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Forgets the number called longest ago; its index.
-    fn remove_oldest(&mut self) -> CalledNumberIx {
-        let (_, oldest) = self.by_last_call.pop_first().expect("a full table holds one number at the least");
-        let entry = self.entries.remove(&oldest).expect("both maps hold the same numbers");
+    /// Evicts the least recently called number and returns its index.
+    fn evict_least_recent(&mut self) -> CalledNumberIx {
+        let (_, digits) = self.by_last_call.pop_first().expect("a full table holds at least one number");
+        let entry = self.entries.remove(&digits).expect("both maps hold the same numbers");
         entry.index
     }
 }
--- a/crates/ochrelead-host/src/lib.rs
+++ b/crates/ochrelead-host/src/lib.rs
@@ -1,13 +1,13 @@
-//! What every host of the decisions needs, whatever its wire.
+//! Parts that every host needs, whatever its protocol.
 //!
-//! A host is the program part between a wire and the decisions of [`ochrelead_core`]: it passes events to a
-//! [`CallPolicy`](call_policy::CallPolicy) and carries out what that decides.
+//! A host connects a network protocol to the controller of [`ochrelead_core`]: it passes events to a
+//! [`CallPolicy`](call_policy::CallPolicy) and carries out its decisions.
 //!
-//! - [`call_policy`]: what a host asks of whoever decides, so that a test can put another policy in place.
-//! - [`clock`]: the machine's clock as moments, and timers on it.
-//! - [`called_numbers`]: called numbers by index, bounded.
-//! - [`recent_ids`]: identifiers that are no longer in use, bounded.
-//! - [`state_folder`]: the folder in which a front stores its state, and how a file in it is replaced.
+//! - [`call_policy`]: the interface between a host and the controller, so that tests can substitute another policy.
+//! - [`clock`]: a monotonic clock, and timers on it.
+//! - [`called_numbers`]: a bounded table of called numbers and their indices.
+//! - [`recent_ids`]: a bounded set of recently used identifiers.
+//! - [`state_folder`]: the folder in which a front stores its state, and the atomic replacement of its files.
 //!
 //! ```
 //! use ochrelead_core::config::ControllerConfig;
@@ -30,7 +30,8 @@
 pub mod recent_ids;
 pub mod state_folder;
 
-/// The status file in a state folder, as `ochrelead-front status` prints it. Its first line says when it was written.
+/// The name of the status file in a state folder, which `ochrelead-front status` prints. Its first line holds the
+/// time at which it was written.
 pub const STATUS: &str = "status";
-/// The file of the counters in a state folder, in the text format of Prometheus.
+/// The name of the metrics file in a state folder, in the Prometheus text format.
 pub const COUNTERS: &str = "counters.prom";
--- a/crates/ochrelead-host/src/recent_ids.rs
+++ b/crates/ochrelead-host/src/recent_ids.rs
@@ -1,23 +1,24 @@
-//! Identifiers that are no longer in use, the oldest forgotten first.
+//! A bounded set of recently used identifiers, which evicts the oldest first.
 
 use std::collections::{HashSet, VecDeque};
 
-/// A bounded set of identifiers.
+/// A bounded set of identifiers, in the order of their insertion.
 #[derive(Clone, Debug)]
 pub struct RecentIds {
     capacity: usize,
     ids: HashSet<String>,
-    /// The same, in the order in which they were added.
+    /// The identifiers in the order of insertion, the oldest first.
     by_age: VecDeque<String>,
 }
 
 impl RecentIds {
-    /// An empty set that remembers the last `capacity` identifiers.
+    /// Creates an empty set that holds the last `capacity` identifiers.
     pub fn new(capacity: usize) -> RecentIds {
         RecentIds { capacity, ids: HashSet::new(), by_age: VecDeque::new() }
     }
 
-    /// Adds an identifier, and forgets the oldest where there are too many. One that is there keeps its age.
+    /// Inserts an identifier and evicts the oldest one if the capacity is exceeded. An identifier that is in the set
+    /// already keeps its position.
     pub fn insert(&mut self, id: &str) {
         if !self.ids.insert(id.to_owned()) {
             return;
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Whether the identifier is still remembered.
+    /// Returns whether the identifier is in the set.
     pub fn contains(&self, id: &str) -> bool {
         self.ids.contains(id)
     }
--- a/crates/ochrelead-host/src/state_folder.rs
+++ b/crates/ochrelead-host/src/state_folder.rs
@@ -1,70 +1,72 @@
-//! The folder in which a front stores its state, and how a file in it is replaced.
+//! The folder in which a front stores its state, and the atomic replacement of files in it.
 //!
-//! A replacement writes the new contents beside the file, under its name with [`NEXT_SUFFIX`], and renames them into
-//! its place. A process that is killed at any point leaves the former file or the new one, never a torn one.
+//! A replacement writes the new contents to a file in the same folder, whose name has the suffix [`NEXT_SUFFIX`], and
+//! renames it over the old file. If the process is killed at any point, the file has either the old or the new
+//! contents.
 
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// What the name of a file ends with while its new contents are being written.
+/// The suffix of the file into which new contents are written before they replace a file.
 pub const NEXT_SUFFIX: &str = ".next";
 
-/// Whether what was written must survive a loss of power.
+/// Whether written data must survive a power failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// It is synced: the contents before the file is renamed, the folder after it.
+    /// The data is synced: the contents before the rename, the folder after it.
     Synced,
-    /// It is not synced, as suits a status that is soon written again.
+    /// The data is not synced. This suits a status file, which is soon written again.
     Unsynced,
 }
 
-/// A folder of files, as far as replacing one needs it.
+/// The operations on a folder that a file replacement needs.
 pub trait Disk {
-    /// The contents of a file; none where there is no such file.
+    /// Returns the contents of a file, or `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Where it is there and can't be read.
+    /// If the file exists but can't be read.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
 
-    /// Writes a file, and syncs it where it is to be durable.
+    /// Writes a file, and syncs it if `durability` requires that.
     ///
     /// # Errors
     ///
-    /// Where that was not completed; the file may be torn.
+    /// If the write or the sync fails. The file may then be incomplete.
     fn write(&mut self, name: &str, contents: &[u8], durability: Durability) -> io::Result<()>;
 
-    /// Renames a file, in place of another where there is one.
+    /// Renames a file and replaces the target if it exists.
     ///
     /// # Errors
     ///
-    /// Where nothing was renamed.
+    /// If the rename fails. Nothing has changed then.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Makes renames durable.
+    /// Syncs the folder, which makes earlier renames durable.
     ///
     /// # Errors
     ///
-    /// Where they may be lost.
+    /// If the sync fails. Renames may then be lost in a power failure.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// Replaces a file: a kill at any point leaves the former contents or the new ones.
+/// Replaces a file atomically: if the process is killed at any point, the file has either the old or the new contents.
 ///
 /// # Errors
 ///
-/// Where the disk fails. The former contents are still there then, unless it was the folder that could not be synced.
+/// If an operation on the disk fails. The file then has its old contents, unless the operation was the sync of the
+/// folder.
 pub fn replace(disk: &mut impl Disk, name: &str, contents: &[u8], durability: Durability) -> io::Result<()> {
     replace_after(disk, name, contents, durability, |_| Ok(()))
 }
 
-/// Replaces a file as [`replace`] does. `before_rename` is called once the new contents are written whole, and may move
-/// the former file away; where it fails, nothing is renamed.
+/// Replaces a file as [`replace`] does, and calls `before_rename` between the write of the new contents and the rename.
+/// `before_rename` may move the old file away. If it fails, the new file is not renamed.
 ///
 /// # Errors
 ///
-/// Where the disk or `before_rename` fails.
+/// If an operation on the disk or `before_rename` fails.
 pub fn replace_after<D: Disk>(
     disk: &mut D,
     name: &str,
@@ -82,16 +84,16 @@
     }
 }
 
-/// A folder of the file system.
+/// A folder in the file system.
 #[derive(Debug)]
 pub struct StateFolder(PathBuf);
 
 impl StateFolder {
-    /// Opens a folder, and creates it where it is missing.
+    /// Opens a folder and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// Where the folder is missing and can't be created.
+    /// If the folder does not exist and can't be created.
     pub fn open(path: &Path) -> io::Result<StateFolder> {
         fs::create_dir_all(path)?;
         Ok(StateFolder(path.to_owned()))
--- a/crates/ochrelead-host/tests/clock.rs
+++ b/crates/ochrelead-host/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The machine's clock.
+//! Tests of the clock and its timers.
 
 use std::time::{Duration, Instant};
 
@@ -7,14 +7,14 @@
 use ochrelead_host::clock::Clock;
 
 #[test]
-fn moments_never_go_back() {
+fn clock_is_monotonic() {
     let clock = Clock::start();
     let moments: Vec<_> = (0..1_000).map(|_| clock.now()).collect();
     assert!(moments.is_sorted());
 }
 
 #[test]
-fn a_timer_fires_at_its_moment_and_not_before() {
+fn timer_fires_no_earlier_than_its_moment() {
     let clock = Clock::start();
     let before = Instant::now();
     future::block_on(clock.timer(Some(clock.now() + Span::from_millis(30))));
@@ -22,21 +22,21 @@
 }
 
 #[test]
-fn a_timer_for_a_past_moment_fires_at_once() {
+fn timer_for_an_elapsed_moment_fires() {
     let clock = Clock::start();
     future::block_on(clock.timer(Some(clock.now())));
 }
 
 #[test]
-fn a_timer_without_a_moment_never_fires() {
+fn timer_without_a_moment_does_not_fire() {
     let clock = Clock::start();
-    let never = async {
+    let timer_without_moment = async {
         clock.timer(None).await;
         false
     };
-    let soon = async {
+    let short_timer = async {
         clock.timer(Some(clock.now() + Span::from_millis(20))).await;
         true
     };
-    assert!(future::block_on(future::or(never, soon)));
+    assert!(future::block_on(future::or(timer_without_moment, short_timer)));
 }
--- a/crates/ochrelead-host/tests/state_folder.rs
+++ b/crates/ochrelead-host/tests/state_folder.rs
@@ -1,4 +1,5 @@
-//! The replacement of a file: its order, and what a kill at each point leaves.
+//! Tests the replacement of a file: the order of its operations, and the files that remain if the process is killed
+//! at any point.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -8,31 +9,32 @@
 use ochrelead_host::state_folder::{Disk, Durability, StateFolder, replace, replace_after};
 
 const NAME: &str = "state";
-const FORMER_NAME: &str = "state.former";
-const FORMER: &[u8] = b"the former contents";
+const BACKUP_NAME: &str = "state.former";
+const OLD: &[u8] = b"the former contents";
 const NEW: &[u8] = b"new \xff contents";
-const BOTH: [Durability; 2] = [Durability::Synced, Durability::Unsynced];
+const DURABILITIES: [Durability; 2] = [Durability::Synced, Durability::Unsynced];
 
-/// A disk that notes what is done to it, and whose process is killed after some operations. A write that is cut leaves
-/// a torn file.
+/// A disk that records its operations and fails after a given number of them, as if the process were killed. A write
+/// that fails leaves an incomplete file.
 struct TestDisk {
     files: BTreeMap<String, Vec<u8>>,
     operations: Vec<String>,
-    operations_left: usize,
-    /// How many bytes of a write that is cut get to the disk.
+    remaining_operations: usize,
+    /// The number of bytes that a failed write leaves in the file.
     torn_length: usize,
 }
 
 impl TestDisk {
-    /// A disk with the former contents.
-    fn new(operations_left: usize, torn_length: usize) -> TestDisk {
-        let files = BTreeMap::from([(NAME.to_owned(), FORMER.to_vec())]);
-        TestDisk { files, operations: Vec::new(), operations_left, torn_length }
+    /// Creates a disk whose file has the old contents.
+    fn new(remaining_operations: usize, torn_length: usize) -> TestDisk {
+        let files = BTreeMap::from([(NAME.to_owned(), OLD.to_vec())]);
+        TestDisk { files, operations: Vec::new(), remaining_operations, torn_length }
     }
 
-    fn operate(&mut self, operation: String) -> io::Result<()> {
-        self.operations_left =
-            self.operations_left.checked_sub(1).ok_or_else(|| io::Error::other("killed"))?;
+    /// Records an operation, or fails if the process is killed before it.
+    fn record(&mut self, operation: String) -> io::Result<()> {
+        self.remaining_operations =
+            self.remaining_operations.checked_sub(1).ok_or_else(|| io::Error::other("killed"))?;
         self.operations.push(operation);
         Ok(())
     }
@@ -49,25 +51,26 @@
 
     fn write(&mut self, name: &str, contents: &[u8], durability: Durability) -> io::Result<()> {
         self.files.insert(name.to_owned(), contents[..self.torn_length].to_owned());
-        self.operate(format!("write {name} {durability:?}"))?;
+        self.record(format!("write {name} {durability:?}"))?;
         self.files.insert(name.to_owned(), contents.to_owned());
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.operate(format!("rename {from} {to}"))?;
+        self.record(format!("rename {from} {to}"))?;
         let contents = self.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
         self.files.insert(to.to_owned(), contents);
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.operate("sync".to_owned())
+        self.record("sync".to_owned())
     }
 }
 
-fn keep_former(disk: &mut TestDisk) -> io::Result<()> {
-    disk.rename(NAME, FORMER_NAME)
+/// Moves the old file away, as a caller that keeps a backup does before the rename.
+fn back_up(disk: &mut TestDisk) -> io::Result<()> {
+    disk.rename(NAME, BACKUP_NAME)
 }
 
 #[test]
@@ -85,96 +88,106 @@
 }
 
 #[test]
-fn former_file_is_moved_away_once_the_new_contents_are_whole() {
+fn old_file_is_backed_up_after_the_new_contents_are_written() {
     let mut disk = TestDisk::new(usize::MAX, 0);
-    replace_after(&mut disk, NAME, NEW, Durability::Synced, keep_former).unwrap();
-    let order = ["write state.next Synced", "rename state state.former", "rename state.next state", "sync"];
-    assert_eq!(disk.operations, order);
-    assert_eq!((disk.contents(NAME), disk.contents(FORMER_NAME)), (Some(NEW), Some(FORMER)));
+    replace_after(&mut disk, NAME, NEW, Durability::Synced, back_up).unwrap();
+    let expected =
+        ["write state.next Synced", "rename state state.former", "rename state.next state", "sync"];
+    assert_eq!(disk.operations, expected);
+    assert_eq!((disk.contents(NAME), disk.contents(BACKUP_NAME)), (Some(NEW), Some(OLD)));
 }
 
 #[test]
-fn killed_at_each_point_the_file_is_the_former_or_the_new_one() {
-    for durability in BOTH {
+fn replacement_killed_at_any_point_leaves_old_or_new_contents() {
+    for durability in DURABILITIES {
         let mut completed = TestDisk::new(usize::MAX, 0);
         replace(&mut completed, NAME, NEW, durability).unwrap();
         let operations = completed.operations.len();
-        for (operations_left, torn_length) in points(operations) {
-            let mut disk = TestDisk::new(operations_left, torn_length);
-            let done = replace(&mut disk, NAME, NEW, durability);
-            let renamed = operations_left >= 2;
-            let expected = if renamed { NEW } else { FORMER };
-            assert_eq!(disk.contents(NAME), Some(expected), "{durability:?} {operations_left} {torn_length}");
-            assert_eq!(done.is_ok(), operations_left == operations, "{durability:?} {operations_left}");
+        for (remaining_operations, torn_length) in kill_points(operations) {
+            let mut disk = TestDisk::new(remaining_operations, torn_length);
+            let result = replace(&mut disk, NAME, NEW, durability);
+            let is_renamed = remaining_operations >= 2;
+            let expected = if is_renamed { NEW } else { OLD };
+            assert_eq!(
+                disk.contents(NAME),
+                Some(expected),
+                "{durability:?} {remaining_operations} {torn_length}"
+            );
+            assert_eq!(
+                result.is_ok(),
+                remaining_operations == operations,
+                "{durability:?} {remaining_operations}"
+            );
         }
     }
 }
 
 #[test]
-fn killed_at_each_point_a_kept_former_file_or_the_new_one_is_whole() {
-    for (operations_left, torn_length) in points(4) {
-        let mut disk = TestDisk::new(operations_left, torn_length);
-        let done = replace_after(&mut disk, NAME, NEW, Durability::Synced, keep_former);
-        let expected = match operations_left {
-            0 | 1 => (Some(FORMER), None),
-            2 => (None, Some(FORMER)),
-            _ => (Some(NEW), Some(FORMER)),
+fn replacement_with_backup_killed_at_any_point_leaves_backup_or_new_contents() {
+    for (remaining_operations, torn_length) in kill_points(4) {
+        let mut disk = TestDisk::new(remaining_operations, torn_length);
+        let result = replace_after(&mut disk, NAME, NEW, Durability::Synced, back_up);
+        let expected = match remaining_operations {
+            0 | 1 => (Some(OLD), None),
+            2 => (None, Some(OLD)),
+            _ => (Some(NEW), Some(OLD)),
         };
-        let left = (disk.contents(NAME), disk.contents(FORMER_NAME));
-        assert_eq!(left, expected, "{operations_left} {torn_length}");
-        assert_eq!(done.is_ok(), operations_left == 4, "{operations_left}");
+        let remaining = (disk.contents(NAME), disk.contents(BACKUP_NAME));
+        assert_eq!(remaining, expected, "{remaining_operations} {torn_length}");
+        assert_eq!(result.is_ok(), remaining_operations == 4, "{remaining_operations}");
     }
 }
 
-/// All numbers of completed operations, each with all lengths of a torn write.
-fn points(operations: usize) -> impl Iterator<Item = (usize, usize)> {
+/// Returns every number of completed operations, combined with every length of an incomplete write.
+fn kill_points(operations: usize) -> impl Iterator<Item = (usize, usize)> {
     (0..=operations).flat_map(|completed| (0..NEW.len()).map(move |torn_length| (completed, torn_length)))
 }
 
 #[test]
-fn a_replacement_after_a_kill_succeeds() {
-    for (operations_left, torn_length) in points(3) {
-        let mut disk = TestDisk::new(operations_left, torn_length);
+fn replacement_succeeds_after_a_killed_one() {
+    for (remaining_operations, torn_length) in kill_points(3) {
+        let mut disk = TestDisk::new(remaining_operations, torn_length);
         let _ = replace(&mut disk, NAME, NEW, Durability::Synced);
-        disk.operations_left = usize::MAX;
-        replace(&mut disk, NAME, FORMER, Durability::Synced).unwrap();
-        assert_eq!(disk.contents(NAME), Some(FORMER));
+        disk.remaining_operations = usize::MAX;
+        replace(&mut disk, NAME, OLD, Durability::Synced).unwrap();
+        assert_eq!(disk.contents(NAME), Some(OLD));
         assert_eq!(disk.contents("state.next"), None);
     }
 }
 
 #[test]
-fn nothing_is_renamed_where_the_former_file_can_not_be_kept() {
+fn new_file_is_not_renamed_if_the_backup_fails() {
     let mut disk = TestDisk::new(usize::MAX, 0);
-    let failed =
+    let result =
         replace_after(&mut disk, NAME, NEW, Durability::Synced, |_| Err(io::Error::other("unreadable")));
-    assert!(failed.is_err());
+    assert!(result.is_err());
     assert_eq!(disk.operations, ["write state.next Synced"]);
-    assert_eq!(disk.contents(NAME), Some(FORMER));
+    assert_eq!(disk.contents(NAME), Some(OLD));
 }
 
-fn empty_folder(name: &str) -> PathBuf {
+/// Returns the path of a test folder that does not exist yet.
+fn fresh_folder_path(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = fs::remove_dir_all(&folder);
     folder
 }
 
 #[test]
-fn folder_of_the_file_system_is_created_and_its_files_are_replaced() {
-    let path = empty_folder("state_folder");
+fn state_folder_is_created_and_its_files_are_replaced() {
+    let path = fresh_folder_path("state_folder");
     let mut folder = StateFolder::open(&path).unwrap();
     assert_eq!(folder.read(NAME).unwrap(), None);
-    for (durability, contents) in BOTH.into_iter().zip([FORMER, NEW]) {
+    for (durability, contents) in DURABILITIES.into_iter().zip([OLD, NEW]) {
         replace(&mut folder, NAME, contents, durability).unwrap();
         assert_eq!(folder.read(NAME).unwrap().as_deref(), Some(contents));
     }
     let names: Vec<_> = fs::read_dir(&path).unwrap().map(|entry| entry.unwrap().file_name()).collect();
-    assert_eq!(names, [NAME], "nothing is left beside");
+    assert_eq!(names, [NAME], "no temporary file remains");
 }
 
 #[test]
-fn unreadable_file_is_an_error_and_not_a_missing_one() {
-    let path = empty_folder("state_folder_unreadable");
+fn unreadable_file_is_an_error() {
+    let path = fresh_folder_path("state_folder_unreadable");
     let folder = StateFolder::open(&path).unwrap();
     fs::create_dir(path.join(NAME)).unwrap();
     assert!(folder.read(NAME).is_err());
