--- a/crates/ochrelead-config/build.rs
+++ b/crates/ochrelead-config/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schemas: types for the checks, descriptors for the text format. No protoc is needed.
+//! Compiles the schemas into Rust types, and into descriptors for the text format. Does not need protoc.
 
 use std::env;
 use std::error::Error;
@@ -11,8 +11,8 @@
     println!("cargo:rerun-if-changed=proto");
     let descriptors =
         protox::compile(["front.proto", "fleet.proto", "day.proto", "experiment.proto"], ["proto"])?;
-    let out = PathBuf::from(env::var("OUT_DIR")?);
-    fs::write(out.join("schemas.bin"), descriptors.encode_to_vec())?;
+    let out_dir = PathBuf::from(env::var("OUT_DIR")?);
+    fs::write(out_dir.join("schemas.bin"), descriptors.encode_to_vec())?;
     prost_build::Config::new().compile_fds(descriptors)?;
     Ok(())
 }
--- a/crates/ochrelead-config/src/diagnostic.rs
+++ b/crates/ochrelead-config/src/diagnostic.rs
@@ -1,8 +1,8 @@
-//! What is wrong with a file.
+//! Errors in a file.
 
 use thiserror::Error;
 
-/// One thing that is wrong with a file: where, what, and what would be right.
+/// An error in a file: its position, the value found and the values that are allowed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{file}:{line}:{column}: {message}")]
 pub struct Diagnostic {
@@ -12,6 +12,6 @@
     pub line: usize,
     /// The column in bytes, counted from 1.
     pub column: usize,
-    /// What is wrong.
+    /// A description of the error.
     pub message: String,
 }
--- a/crates/ochrelead-config/src/document.rs
+++ b/crates/ochrelead-config/src/document.rs
@@ -1,4 +1,4 @@
-//! Texts in protobuf text format, and what is wrong with them.
+//! Parses texts in protobuf text format and collects their errors.
 
 use std::fs;
 use std::path::Path;
@@ -13,30 +13,30 @@
 
 static SCHEMAS: LazyLock<DescriptorPool> = LazyLock::new(|| {
     let bytes = include_bytes!(concat!(env!("OUT_DIR"), "/schemas.bin"));
-    DescriptorPool::decode(bytes.as_slice()).expect("the build has compiled the schemas")
+    DescriptorPool::decode(bytes.as_slice()).expect("the build script compiles the schemas")
 });
 
-/// The schema of a message of this crate.
+/// Returns the schema of a message, by its name.
 fn schema_of(name: &str) -> MessageDescriptor {
     SCHEMAS
         .get_message_by_name(&format!("ochrelead.settings.{name}"))
-        .expect("callers name messages of this crate's schemas only")
+        .expect("callers use names of messages of this crate only")
 }
 
-/// A text that is parsed and checked; it collects what is wrong with it.
+/// A parsed text, with the positions of its fields and the errors found so far.
 pub struct Document {
     file: String,
     positions: FieldPositions,
-    /// What is wrong, as far as it has been checked.
+    /// The errors found so far.
     pub diagnostics: Vec<Diagnostic>,
 }
 
 impl Document {
-    /// Parses a text as a message of the schemas.
+    /// Parses a text as the message with the name `message`. `file` is the name of the text in diagnostics.
     ///
     /// # Errors
     ///
-    /// Where the text is no such message.
+    /// If the text is not a valid message of this type.
     pub fn parse<M: Message + Default>(
         file: &str,
         text: &str,
@@ -57,35 +57,35 @@
         Ok((message, Document { file: file.to_owned(), positions, diagnostics: Vec::new() }))
     }
 
-    /// Parses a file as a message of the schemas.
+    /// Reads and parses a file as the message with the name `message`.
     ///
     /// # Errors
     ///
-    /// Where the file can't be read, is no UTF-8 text, or no such message.
+    /// If the file can't be read, is not UTF-8, or is not a valid message of this type.
     pub fn open<M: Message + Default>(path: &Path, message: &str) -> Result<(M, Document), Vec<Diagnostic>> {
         let file = path.display().to_string();
         let diagnostic =
             |message: String| vec![Diagnostic { file: file.clone(), line: 1, column: 1, message }];
-        let bytes = fs::read(path).map_err(|error| diagnostic(format!("cannot be read: {error}")))?;
-        let text =
-            String::from_utf8(bytes).map_err(|error| diagnostic(format!("not UTF-8 text: {error}")))?;
+        let bytes = fs::read(path).map_err(|error| diagnostic(format!("file can't be read: {error}")))?;
+        let text = String::from_utf8(bytes)
+            .map_err(|error| diagnostic(format!("file is not UTF-8 text: {error}")))?;
         Document::parse(&file, &text, message)
     }
 
-    /// Something is wrong with a field, by its path such as `server[1].lines`. A missing field is reported at the
-    /// message that would hold it.
+    /// Records an error in the field at `path`, such as `server[1].lines`. The position of a missing field is that of
+    /// the enclosing message.
     pub fn report(&mut self, path: &str, message: impl Into<String>) {
         let Position { line, column } = self.positions.find(path);
         self.diagnostics.push(Diagnostic { file: self.file.clone(), line, column, message: message.into() });
     }
 
-    /// Where a field is, as `file:line:column`.
+    /// Returns the position of a field as `file:line:column`.
     pub fn location(&self, path: &str) -> String {
         let Position { line, column } = self.positions.find(path);
         format!("{}:{line}:{column}", self.file)
     }
 
-    /// The value of a field that must be there; the default where it is missing.
+    /// Returns the value of a required field. If it is missing, reports that and returns the default of its type.
     pub fn required<T: Default>(&mut self, path: &str, value: Option<T>) -> T {
         value.unwrap_or_else(|| {
             self.report(path, format!("{} is missing", field_name(path)));
@@ -93,7 +93,8 @@
         })
     }
 
-    /// A value that must lie between two others; the lower one where it does not.
+    /// Returns a value that must lie between `min` and `max`, both included. If it does not, reports that and returns
+    /// `min`.
     pub fn in_range(&mut self, path: &str, value: f64, min: f64, max: f64) -> f64 {
         if value >= min && value <= max {
             return value;
@@ -102,28 +103,28 @@
         min
     }
 
-    /// Whether a field is there and none begins after it.
+    /// Returns whether a field is set and is the last one in the text.
     pub fn is_last_field(&self, path: &str) -> bool {
         self.positions.is_last(path)
     }
 
-    /// The checked value, unless something was wrong.
+    /// Returns the checked value.
     ///
     /// # Errors
     ///
-    /// All that is wrong.
+    /// All diagnostics, if there are any.
     pub fn finish<T>(self, checked: T) -> Result<T, Vec<Diagnostic>> {
         if self.diagnostics.is_empty() { Ok(checked) } else { Err(self.diagnostics) }
     }
 }
 
-/// The name of a field, without the path to it.
+/// Returns the name of a field without the path of its message.
 fn field_name(path: &str) -> &str {
     path.rsplit('.').next().unwrap_or(path)
 }
 
-/// A message of the schemas as text.
+/// Encodes a message in text format. `name` is the name of the message's type.
 pub fn to_text<M: Message>(message: &M, name: &str) -> String {
     let dynamic = DynamicMessage::decode(schema_of(name), message.encode_to_vec().as_slice());
-    dynamic.expect("callers name the message's own schema").to_text_format()
+    dynamic.expect("callers pass the name of the message's type").to_text_format()
 }
--- a/crates/ochrelead-config/src/faults.rs
+++ b/crates/ochrelead-config/src/faults.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in a scenario.
+//! Faults that are injected into a scenario.
 
 use ochrelead_core::time::Span;
 
@@ -6,55 +6,55 @@
 use crate::millis;
 use crate::schema;
 
-/// What can go wrong. Magnitude and duration are those of the [`InjectedFault`].
+/// The kind of a fault. Magnitude and duration are those of the [`InjectedFault`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// A server's process is killed and started again after the duration: all its calls are cut.
+    /// A server's process is killed, which ends all its calls, and is started again after the duration.
     Crash,
-    /// A server stands still and comes back without its warm-up.
+    /// A server stops without notice and is started again, cold, after the duration.
     Vanish,
-    /// A server accepts set-ups and answers none.
+    /// A server receives all messages but answers none.
     Silent,
-    /// A server is slower by the magnitude.
+    /// A server's work takes longer by the factor `magnitude`.
     Slow,
-    /// All servers are slower by the magnitude.
+    /// The work of all servers takes longer by the factor `magnitude`.
     AllSlow,
-    /// Callers ask for sessions the magnitude times as often.
+    /// The rate of new sessions is multiplied by the magnitude.
     Surge,
-    /// A share of the magnitude of all sessions goes to one number with few lines.
+    /// The magnitude is the share of all sessions that are requested for one called number with few lines.
     HotNumber,
-    /// A server drains for the duration and is replaced by one that has to warm up.
+    /// A server drains for the duration and is then replaced by a cold one.
     Replaced,
-    /// A front is killed and started again after the duration, with its last endpoints only.
+    /// A front's process is killed and started again after the duration. It has lost all state but its endpoints.
     FrontKilled,
-    /// A front's process stands still for the duration.
+    /// A front's process is suspended for the duration.
     FrontStall,
-    /// The callers of one tenant dial again at once, and give up early.
+    /// The callers of a tenant redial quickly and give up early.
     Redials,
-    /// Answers of a server are lost on the way to the fronts, a share of the magnitude.
+    /// The network loses a share `magnitude` of the messages that a server sends.
     AnswersLost,
-    /// The link between a front and all servers is cut, both ways.
+    /// The network loses all messages between a front and the servers, in both directions.
     LinkCut,
-    /// Nothing of the servers reaches a front, a share of the magnitude of it.
+    /// The network loses a share `magnitude` of the messages from the servers to a front.
     FrontDeaf,
-    /// Nothing of a front reaches the servers, a share of the magnitude of it.
+    /// The network loses a share `magnitude` of the messages from a front to the servers.
     FrontMute,
-    /// The link between a front and the callers loses a share of the magnitude, both ways.
+    /// The network loses a share `magnitude` of the messages between a front and the callers, in both directions.
     CallersCut,
-    /// A front's system clock is set by the magnitude seconds, ahead; its next process has it.
+    /// A front's system clock is set forward by `magnitude` seconds. This affects the processes that start afterwards.
     ClockAhead,
-    /// The same, back.
+    /// A front's system clock is set back by `magnitude` seconds. This affects the processes that start afterwards.
     ClockBack,
-    /// A front's clock runs fast by the magnitude in a million.
+    /// A front's clock runs fast by `magnitude` parts per million, for the whole scenario.
     ClockFast,
-    /// A front's disk accepts nothing for the duration.
+    /// All writes to a front's disk fail for the duration.
     DiskFull,
-    /// What a front was writing when it was killed within the duration is torn.
+    /// If a front is killed within the duration, the file that it was writing is left incomplete.
     DiskTorn,
 }
 
 impl FaultKind {
-    /// All kinds, with the names that scenarios have for them.
+    /// All kinds, with their names in scenario files.
     pub const ALL: [(&'static str, FaultKind); 21] = [
         ("crash", FaultKind::Crash),
         ("vanish", FaultKind::Vanish),
@@ -79,74 +79,75 @@
         ("disk_torn", FaultKind::DiskTorn),
     ];
 
-    /// The name that scenarios have for it.
+    /// Returns the name of the kind in scenario files.
     pub fn name(self) -> &'static str {
         FaultKind::ALL.iter().find(|(_, kind)| *kind == self).map_or("", |(name, _)| name)
     }
 
-    /// Whether only emulated fronts can have it: clocks and disks are the system's, and real processes can't be given
-    /// others.
+    /// Returns whether the fault can be injected into emulated fronts only. Real processes use the clock and the disk
+    /// of the machine, which can't be replaced.
     pub fn is_emulated_only(self) -> bool {
         use FaultKind::{ClockAhead, ClockBack, ClockFast, DiskFull, DiskTorn};
         matches!(self, ClockAhead | ClockBack | ClockFast | DiskFull | DiskTorn)
     }
 
-    /// Whether it is injected at fronts.
+    /// Returns whether the fault is injected into fronts.
     pub fn is_at_fronts(self) -> bool {
         self.target() == FaultTarget::Fronts
     }
 
-    /// What it is injected at.
+    /// Returns what the indices in `which` refer to.
     fn target(self) -> FaultTarget {
         match self {
             FaultKind::FrontKilled | FaultKind::FrontStall | FaultKind::LinkCut => FaultTarget::Fronts,
             FaultKind::FrontDeaf | FaultKind::FrontMute | FaultKind::CallersCut => FaultTarget::Fronts,
             _ if self.is_emulated_only() => FaultTarget::Fronts,
             FaultKind::Surge | FaultKind::HotNumber | FaultKind::Redials | FaultKind::AllSlow => {
-                FaultTarget::Everything
+                FaultTarget::Other
             }
             _ => FaultTarget::Servers,
         }
     }
 }
 
+/// What a fault is injected into.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum FaultTarget {
     Fronts,
     Servers,
-    /// Neither fronts nor servers are counted.
-    Everything,
+    /// Tenants, all servers or all callers. The indices in `which` are not checked.
+    Other,
 }
 
 /// One fault of a scenario.
 #[derive(Clone, Debug)]
 pub struct InjectedFault {
-    /// What goes wrong.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// When it begins, from the start of the scenario.
+    /// The time at which it begins, from the start of the scenario.
     pub start: Span,
-    /// How long it lasts.
+    /// The time for which it lasts.
     pub duration: Span,
-    /// The servers, fronts or tenants that it is injected at, counted from 0.
+    /// The indices of the affected servers, fronts or tenants, from 0.
     pub targets: Vec<usize>,
-    /// How strong it is; what that means depends on the kind.
+    /// The strength of the fault. Its meaning depends on the kind.
     pub magnitude: f64,
 }
 
-/// How many fronts and servers a scenario has.
+/// The numbers of fronts and servers in a scenario.
 #[derive(Clone, Copy)]
 pub(crate) struct TargetCounts {
     pub(crate) fronts: usize,
     pub(crate) servers: usize,
 }
 
-/// Checks one fault.
+/// Checks a fault. If it names no targets, the first ones are taken, by their share of all, at least one.
 pub(crate) fn check(fault: &schema::Trouble, counts: TargetCounts, mut fields: Fields<'_>) -> InjectedFault {
     let kind = check_kind(fault, &mut fields);
     let count = match kind.target() {
         FaultTarget::Fronts => Some(counts.fronts),
         FaultTarget::Servers => Some(counts.servers),
-        FaultTarget::Everything => None,
+        FaultTarget::Other => None,
     };
     let share = fields.in_range("part", fault.part.unwrap_or(0.0), 0.0, 1.0);
     let mut targets: Vec<usize> = fault.which.iter().map(|target| *target as usize).collect();
@@ -154,9 +155,9 @@
         if targets.is_empty() {
             targets = (0..((count as f64 * share).ceil() as usize).max(1)).collect();
         }
-        for (index, _) in targets.iter().enumerate().filter(|(_, target)| **target >= count) {
+        for (index, target) in targets.iter().enumerate().filter(|(_, target)| **target >= count) {
             let field = format!("which[{index}]");
-            fields.report(&field, format!("there are only {count}, counted from 0"));
+            fields.report(&field, format!("which is {target}; there are only {count}, numbered from 0"));
         }
     }
     let magnitude = fault.size.unwrap_or(1.0);
--- a/crates/ochrelead-config/src/field_positions.rs
+++ b/crates/ochrelead-config/src/field_positions.rs
@@ -1,8 +1,8 @@
-//! Where each field of a text is.
+//! The position of each field in a text.
 
 use std::collections::BTreeMap;
 
-/// A place in a text. Line and column, in bytes, are counted from 1.
+/// A position in a text. Line and column are counted from 1, the column in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Position {
     pub(crate) line: usize,
@@ -12,7 +12,7 @@
 impl Position {
     pub(crate) const START: Position = Position { line: 1, column: 1 };
 
-    /// The place of a byte.
+    /// Returns the position of the byte at `offset`.
     pub(crate) fn of_offset(text: &str, offset: usize) -> Position {
         let before = &text.as_bytes()[..offset.min(text.len())];
         let line = before.iter().filter(|byte| **byte == b'\n').count() + 1;
@@ -21,22 +21,22 @@
     }
 }
 
-/// The places of all fields by their path. The first of several fields of a name has no index in it.
+/// The positions of all fields by path. The path of the first occurrence of a repeated field has no index.
 pub(crate) struct FieldPositions(BTreeMap<String, Position>);
 
 impl FieldPositions {
-    /// Finds the fields in a text that has been parsed before: here only names, braces and values matter.
+    /// Finds all fields of a text. The text has been parsed before, so that its syntax is known to be valid.
     pub(crate) fn scan(text: &str) -> FieldPositions {
         let mut scanner = Scanner::new(text);
         while scanner.offset < text.len() {
-            scanner.step();
+            scanner.scan_token();
         }
         FieldPositions(scanner.positions)
     }
 
-    /// The place of a field, or of what would hold it.
+    /// Returns the position of a field, or of the innermost enclosing message if the field is missing.
     pub(crate) fn find(&self, path: &str) -> Position {
-        // A single field and the first of several are the same place.
+        // The first occurrence of a repeated field is stored without an index.
         let path = path.replace("[0]", "");
         let mut path = path.as_str();
         loop {
@@ -50,21 +50,22 @@
         }
     }
 
-    /// Whether a field is there and none begins after it.
+    /// Returns whether a field is set and is the last one in the text.
     pub(crate) fn is_last(&self, path: &str) -> bool {
         let last = self.0.values().max();
         last.is_some() && self.0.get(path) == last
     }
 }
 
+/// Scans a text for fields, one token at a time.
 struct Scanner<'a> {
     text: &'a str,
     offset: usize,
-    /// The names, with their index, of the messages around.
+    /// The names, with index, of the enclosing messages, the outermost first.
     enclosing: Vec<String>,
-    /// The name, with its index, of the field whose value comes next.
+    /// The name, with index, of the field whose value follows.
     pending: Option<String>,
-    /// How often each path has occurred.
+    /// The number of occurrences of each path so far.
     occurrences: BTreeMap<String, usize>,
     positions: BTreeMap<String, Position>,
 }
@@ -81,13 +82,14 @@
         }
     }
 
-    fn rest(&self) -> &'a [u8] {
+    /// Returns the text that has not been scanned yet.
+    fn remaining(&self) -> &'a [u8] {
         &self.text.as_bytes()[self.offset..]
     }
 
-    /// Passes over one token.
-    fn step(&mut self) {
-        match self.rest()[0] {
+    /// Scans one token.
+    fn scan_token(&mut self) {
+        match self.remaining()[0] {
             b'#' => self.skip_comment(),
             quote @ (b'"' | b'\'') => self.skip_string(quote),
             b'{' | b'<' => {
@@ -104,8 +106,8 @@
     }
 
     fn skip_comment(&mut self) {
-        let rest = self.rest();
-        self.offset += rest.iter().position(|byte| *byte == b'\n').unwrap_or(rest.len());
+        let remaining = self.remaining();
+        self.offset += remaining.iter().position(|byte| *byte == b'\n').unwrap_or(remaining.len());
     }
 
     fn skip_string(&mut self, quote: u8) {
@@ -118,11 +120,12 @@
         self.pending = None;
     }
 
-    /// A word is the name of a field where a colon or a message follows; otherwise it is a value.
+    /// Scans a word. It is a field name if a colon or a message follows, and a value otherwise.
     fn scan_word(&mut self) {
-        let rest = self.rest();
-        let length = rest.iter().take_while(|byte| byte.is_ascii_alphanumeric() || **byte == b'_').count();
-        let after = &rest[length..];
+        let remaining = self.remaining();
+        let length =
+            remaining.iter().take_while(|byte| byte.is_ascii_alphanumeric() || **byte == b'_').count();
+        let after = &remaining[length..];
         let next = after.iter().position(|byte| !byte.is_ascii_whitespace());
         let Some(next) = next.filter(|next| matches!(after[*next], b':' | b'{' | b'<')) else {
             self.offset += length;
@@ -135,11 +138,11 @@
         }
     }
 
-    /// Notes the field whose name, of that length, begins here.
+    /// Records the field whose name begins at the current offset and has `length` bytes.
     fn add_field(&mut self, length: usize) {
         let name = &self.text[self.offset..self.offset + length];
-        let around = self.enclosing.iter().map(String::as_str);
-        let path = around.chain([name]).collect::<Vec<_>>().join(".");
+        let enclosing = self.enclosing.iter().map(String::as_str);
+        let path = enclosing.chain([name]).collect::<Vec<_>>().join(".");
         let count = self.occurrences.entry(path.clone()).or_insert(0);
         let indexed = if *count == 0 { path } else { format!("{path}[{count}]") };
         *count += 1;
--- a/crates/ochrelead-config/src/front_config.rs
+++ b/crates/ochrelead-config/src/front_config.rs
@@ -16,32 +16,32 @@
 use crate::schema;
 use crate::server_endpoint::{ServerEndpoint, check_servers_in};
 
-/// What a front starts with.
+/// The configuration with which a front starts.
 #[derive(Clone, Debug)]
 pub struct FrontConfig {
-    /// The domain of the front's own endpoint names.
+    /// The domain of the front's endpoint names.
     pub name: String,
-    /// Where it receives commands.
+    /// The address on which the front receives commands.
     pub listen: SocketAddr,
-    /// The configuration of its decisions; the seed is set at each start.
+    /// The configuration of the controller. The seed is set at each start.
     pub controller: ControllerConfig,
-    /// What called numbers mean.
+    /// The numbering plan, which maps called numbers to services and servers.
     pub numbering_plan: NumberingPlan,
-    /// The names of the services, by their index.
+    /// The names of the services, by service index.
     pub service_names: Vec<String>,
-    /// The timer limit of each service, for callers that name none.
+    /// The timer limits of the services, by service index, for callers that send none.
     pub timer_limits: Vec<Span>,
-    /// The first terms of the tenants' endpoint names, by their index.
+    /// The first terms of the tenants' endpoint names, by tenant index.
     pub trunks: Vec<String>,
-    /// The servers that it knows at the start.
+    /// The initial list of servers.
     pub servers: Vec<ServerEndpoint>,
-    /// How commands are retransmitted.
+    /// The configuration of command retransmission.
     pub transactions: TransactionConfig,
-    /// The most sessions at a time.
+    /// The maximum number of concurrent sessions.
     pub max_sessions: usize,
-    /// How long before its timer limit a caller gets its final answer.
+    /// The time before the caller's timer limit at which the front sends its final answer at the latest.
     pub answer_margin: Span,
-    /// How long the front waits for its sessions when it is told to end.
+    /// The longest time that a draining front waits for sessions without a final answer.
     pub drain_time: Span,
 }
 
@@ -49,31 +49,31 @@
 ///
 /// # Errors
 ///
-/// All that is wrong with them.
+/// All diagnostics, if the settings are invalid.
 pub fn open(path: &Path) -> Result<FrontConfig, Vec<Diagnostic>> {
     let (front, mut document) = Document::open::<schema::Front>(path, "Front")?;
     let config = check(&front, Fields::new(&mut document, ""));
     document.finish(config)
 }
 
-/// Like [`open`], from a text.
+/// Parses and checks the settings of a front. `file` is the name of the text in diagnostics.
 ///
 /// # Errors
 ///
-/// All that is wrong with it.
+/// All diagnostics, if the settings are invalid.
 pub fn parse(file: &str, text: &str) -> Result<FrontConfig, Vec<Diagnostic>> {
     let (front, mut document) = Document::parse::<schema::Front>(file, text, "Front")?;
     let config = check(&front, Fields::new(&mut document, ""));
     document.finish(config)
 }
 
-/// Checks the settings of a front.
+/// Checks the settings of a front and builds its configuration.
 pub(crate) fn check(front: &schema::Front, mut fields: Fields<'_>) -> FrontConfig {
     let fields = &mut fields;
     let name = fields.required("name", front.name.clone());
     let is_name_byte = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'-');
     if name.is_empty() || !name.bytes().all(is_name_byte) {
-        fields.report("name", format!("name is {name:?}; it must be letters, digits, dots and dashes"));
+        fields.report("name", format!("name is {name:?}; it must be letters, digits, dots and dashes only"));
     }
     let listen = fields.address("listen", front.listen.as_deref());
     let fronts = fields.required("fronts", front.fronts);
@@ -121,7 +121,7 @@
     }
 }
 
-/// Services may name listed servers only, where any are listed.
+/// Checks that services name listed servers only. Without listed servers, nothing is checked.
 fn check_service_servers(services: &[schema::Service], servers: &[ServerEndpoint], fields: &mut Fields<'_>) {
     if servers.is_empty() {
         return;
@@ -136,7 +136,7 @@
     }
 }
 
-/// The part of the configuration that says what a restarted server can take.
+/// Checks the settings on servers that have just started.
 fn check_slow_start(cold: schema::ColdStart, fields: &mut Fields<'_>) -> ControllerConfig {
     let mut fields = fields.message("cold");
     let cold_capacity_share = cold.share.unwrap_or(0.25);
@@ -154,16 +154,17 @@
     }
 }
 
+/// Checks that the answer margin is shorter than every timer limit, and returns it in milliseconds.
 fn check_answer_margin(front: &schema::Front, fields: &mut Fields<'_>) -> u32 {
-    let margin = front.answer_margin_ms.unwrap_or(50);
-    let shortest = front.service.iter().filter_map(|service| service.timer_limit_ms).min();
-    if let Some(limit) = shortest.filter(|limit| margin >= *limit) {
+    let margin_ms = front.answer_margin_ms.unwrap_or(50);
+    let shortest_limit_ms = front.service.iter().filter_map(|service| service.timer_limit_ms).min();
+    if let Some(limit_ms) = shortest_limit_ms.filter(|limit_ms| margin_ms >= *limit_ms) {
         let message = format!(
-            "answer_margin_ms is {margin}; it must be less than the shortest timer_limit_ms, {limit}"
+            "answer_margin_ms is {margin_ms}; it must be less than the shortest timer_limit_ms, {limit_ms}"
         );
         fields.report("answer_margin_ms", message);
     }
-    margin
+    margin_ms
 }
 
 fn check_transactions(repeats: schema::Repeats, mut fields: Fields<'_>) -> TransactionConfig {
@@ -177,17 +178,31 @@
     };
     fields.in_range("first_gap_ms", transactions.initial_rto.ratio(Span::from_millis(1)), 10.0, 60_000.0);
     if transactions.max_rto < transactions.initial_rto {
-        fields.report("longest_gap_ms", "longest_gap_ms is less than first_gap_ms");
+        let message = format!(
+            "longest_gap_ms is {}; it must be at least first_gap_ms, {}",
+            whole_millis(transactions.max_rto),
+            whole_millis(transactions.initial_rto)
+        );
+        fields.report("longest_gap_ms", message);
     }
     if transactions.history_duration < transactions.response_timeout {
-        fields.report("kept_ms", "kept_ms is less than give_up_ms: a late repeat would run twice");
+        let message = format!(
+            "kept_ms is {}; it must be at least give_up_ms, {}, or a late retransmission would be executed again",
+            whole_millis(transactions.history_duration),
+            whole_millis(transactions.response_timeout)
+        );
+        fields.report("kept_ms", message);
     }
     transactions
 }
 
+fn whole_millis(span: Span) -> u64 {
+    span.micros() / 1_000
+}
+
 fn check_services(services: &[schema::Service], fields: &mut Fields<'_>) -> Vec<Service> {
     if services.is_empty() {
-        fields.report("service", "no service: at least one must be there");
+        fields.report("service", "there is no service; there must be at least one");
     }
     let check = |(index, service): (usize, &schema::Service)| {
         check_service(service, &services[..index], fields.repeated("service", index))
@@ -195,32 +210,36 @@
     services.iter().enumerate().map(check).collect()
 }
 
-/// Checks a service; `others` are those before it.
-fn check_service(service: &schema::Service, others: &[schema::Service], mut fields: Fields<'_>) -> Service {
+/// Checks a service. `previous` are the services listed before it.
+fn check_service(service: &schema::Service, previous: &[schema::Service], mut fields: Fields<'_>) -> Service {
     let dialled = fields.required("dialled", service.dialled.clone());
     if dialled.is_empty() || !is_digits(&dialled) {
-        fields.report("dialled", format!("dialled is {dialled:?}; it must be digits"));
+        fields.report("dialled", format!("dialled is {dialled:?}; it must be one or more digits"));
     }
-    for other in others {
-        if overlap(other.dialled.as_deref().unwrap_or(""), &dialled) {
+    for other in previous {
+        let other_digits = other.dialled.as_deref().unwrap_or("");
+        if overlap(other_digits, &dialled) {
             let name = other.name.as_deref().unwrap_or("");
-            fields.report("dialled", format!("dialled is {dialled:?}, which service {name:?} has too"));
+            let message = format!(
+                "dialled is {dialled:?}; it must not overlap the digits {other_digits:?} of service {name:?}"
+            );
+            fields.report("dialled", message);
         }
     }
     let value = fields.required("value", service.value);
     fields.in_range("value", value, 0.001, 1e9);
-    let target = fields.required("post_dial_target_ms", service.post_dial_target_ms);
-    let limit = fields.required("timer_limit_ms", service.timer_limit_ms);
-    if target > limit || target == 0 {
+    let target_ms = fields.required("post_dial_target_ms", service.post_dial_target_ms);
+    let limit_ms = fields.required("timer_limit_ms", service.timer_limit_ms);
+    if target_ms > limit_ms || target_ms == 0 {
         let message =
-            format!("post_dial_target_ms is {target}; it must be from 1 to timer_limit_ms, {limit}");
+            format!("post_dial_target_ms is {target_ms}; it must be from 1 to timer_limit_ms, {limit_ms}");
         fields.report("post_dial_target_ms", message);
     }
     let late_value_share = service.late_share.unwrap_or(0.0);
     fields.in_range("late_share", late_value_share, 0.0, 1.0);
     Service {
         value,
-        post_dial_target: millis(target),
+        post_dial_target: millis(target_ms),
         late_value_share,
         mean_hold_time: millis(service.usual_hold_ms.unwrap_or(0)),
         servers: service.server.iter().map(|number| i64::from(*number)).collect(),
@@ -239,10 +258,13 @@
         let mut fields = fields.repeated("member", index);
         let trunk = fields.required("trunk", member.trunk.clone());
         if trunk.is_empty() || trunk.contains(['/', '@', '*', '$', ' ']) {
-            fields.report("trunk", format!("trunk is {trunk:?}; it must be one term of an endpoint name"));
+            let message = format!(
+                "trunk is {trunk:?}; it must be one term of an endpoint name, without / @ * $ and spaces"
+            );
+            fields.report("trunk", message);
         }
         if tenants.iter().any(|other| other.trunk == trunk) {
-            fields.report("trunk", format!("trunk {trunk:?} is another member's too"));
+            fields.report("trunk", format!("trunk {trunk:?} is already used by another member"));
         }
         let quota_per_s = fields.required("quota_per_s", member.quota_per_s);
         fields.in_range("quota_per_s", quota_per_s, 0.0, 1e9);
--- a/crates/ochrelead-config/src/scenario.rs
+++ b/crates/ochrelead-config/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios: emulated servers and callers, the network between, and faults.
+//! Scenarios: emulated servers and callers, the emulated network between them and the fronts, and injected faults.
 
 use std::path::Path;
 
@@ -13,18 +13,18 @@
 use crate::schema;
 use crate::server_endpoint::{MAX_WEIGHT, MIN_WEIGHT};
 
-/// A scenario as it is run.
+/// A checked scenario.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The seed of all that is random in it.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// How long it lasts.
+    /// The duration of the scenario.
     pub duration: Span,
-    /// How many fronts there are.
+    /// The number of fronts.
     pub fronts: usize,
-    /// The configuration of all fronts, but for name, addresses and servers.
+    /// The configuration that all fronts share. Name, addresses and servers are set for each front.
     pub front: FrontConfig,
-    /// The same as it was read, for the fronts' own files.
+    /// The settings from which `front` is built, for the settings files of the fronts.
     pub front_settings: schema::Front,
     /// The emulated servers.
     pub servers: Vec<EmulatedServer>,
@@ -32,98 +32,98 @@
     pub callers: EmulatedCallers,
     /// The emulated network.
     pub network: EmulatedNetwork,
-    /// What goes wrong.
+    /// The faults to inject.
     pub faults: Vec<InjectedFault>,
-    /// How the fronts' discovery files change, where they do.
+    /// How the fronts' discovery files change, if they do.
     pub churn: Option<EndpointChurn>,
 }
 
-/// Discovery files that are rewritten all the time.
+/// The rewriting of discovery files during a scenario.
 #[derive(Clone, Debug)]
 pub struct EndpointChurn {
-    /// The time between two rewrites of a file.
+    /// The interval between two rewrites of a file.
     pub interval: Span,
-    /// The share of rewrites that are broken.
+    /// The share of rewrites that leave an invalid file.
     pub broken_share: f64,
-    /// One server after the other drains for so long.
+    /// How long a server drains. The servers drain one after another, with a pause of the same length between.
     pub drain_time: Span,
-    /// The servers' weights, in their order.
+    /// The weights of the servers, by server index.
     pub weights: Vec<f64>,
 }
 
-/// An emulated signalling server, with one processor.
+/// An emulated signalling server with one processor.
 #[derive(Clone, Copy, Debug)]
 pub struct EmulatedServer {
-    /// Sessions a second that its warm processor carries: set-up, answer and release.
+    /// The capacity of the warm processor, in sessions per second, each with set-up, answer and release.
     pub sessions_per_s: f64,
-    /// How many lines it has.
+    /// The number of lines.
     pub lines: u32,
-    /// Set-ups are rejected while the queue is longer.
+    /// Set-ups are rejected while the queueing delay is longer than this.
     pub max_queue: Span,
-    /// The share of its capacity that it has when it starts.
+    /// The share of the capacity that a server has when it starts.
     pub cold_share: f64,
-    /// It has its full capacity so long after its start.
+    /// The time from the start until a server has its full capacity.
     pub warm_up_time: Span,
-    /// The time between two reports of its lines to all fronts.
+    /// The interval between two reports of free lines to all fronts.
     pub report_interval: Span,
-    /// Whether it reports the rate of set-ups that it accepts.
+    /// Whether the server reports the rate of set-ups that it accepts.
     pub reports_accepted_rate: bool,
-    /// Whether it reports the share of set-ups that fronts are to hold back.
+    /// Whether the server reports the share of set-ups that fronts have to hold back.
     pub reports_hold_back_share: bool,
-    /// Whether its rejections name a retry-after.
+    /// Whether rejections because of overload have a retry-after.
     pub names_retry_after: bool,
-    /// The work of reading a message, as a share of that of a set-up, as all work below.
+    /// The work of reading a message, as a share of the work of a set-up, like all work below.
     pub read_work: f64,
     /// The work of rejecting a set-up.
     pub reject_work: f64,
-    /// The work of recognizing a repeated message.
+    /// The work of recognizing a retransmitted message.
     pub repeat_work: f64,
-    /// The work of the answer, and that of the release.
+    /// The work of an answer, and also of a release.
     pub follow_up_work: f64,
-    /// Whether a cancelled set-up is taken out of the queue.
+    /// Whether a cancelled set-up costs the work of reading it at the most.
     pub drops_cancelled: bool,
-    /// Whether answers and releases go ahead of new set-ups.
+    /// Whether answers and releases are processed before new set-ups.
     pub finishes_first: bool,
 }
 
 impl EmulatedServer {
-    /// How long one set-up takes on the warm processor.
+    /// Returns the time that the set-up alone takes on the warm processor.
     pub fn set_up_time(&self) -> Span {
         Span::from_secs(1).scaled(1.0 / (self.sessions_per_s * (1.0 + 2.0 * self.follow_up_work)))
     }
 }
 
-/// All callers of a scenario.
+/// The emulated callers of a scenario.
 #[derive(Clone, Debug)]
 pub struct EmulatedCallers {
-    /// The sessions that they ask for in a second.
+    /// The rate of new sessions, per second.
     pub sessions_per_s: f64,
-    /// The services' relative shares, in their order.
+    /// The relative shares of the services, by service index.
     pub service_shares: Vec<f64>,
-    /// The tenants' relative shares, in their order.
+    /// The relative shares of the tenants, by tenant index.
     pub tenant_shares: Vec<f64>,
-    /// How often a caller tries again, at the most.
+    /// The maximum number of redials of a caller.
     pub max_redials: u32,
-    /// The time between two attempts of a caller.
+    /// The mean delay before the first redial. The mean doubles with each further one, up to a limit.
     pub redial_delay: Span,
-    /// The share of callers that follow a retry-after.
+    /// The probability that a caller observes a retry-after.
     pub retry_after_compliance: f64,
-    /// A caller gives an attempt up after this share of the timer limit.
+    /// The share of the timer limit after which a caller gives up an attempt.
     pub patience: f64,
 }
 
-/// What happens to datagrams on their way.
+/// The emulated network's effect on datagrams.
 #[derive(Clone, Copy, Debug)]
 pub struct EmulatedNetwork {
-    /// The mean delay one way.
+    /// The mean one-way delay.
     pub delay: Span,
-    /// The standard deviation of the delay, as a share of it.
+    /// The standard deviation of the delay, as a share of the mean.
     pub jitter: f64,
     /// The share of datagrams that are lost.
     pub loss: f64,
-    /// The share of datagrams that arrive twice.
+    /// The share of datagrams that are delivered twice.
     pub duplicated: f64,
-    /// The share of datagrams that are held back for three delays more.
+    /// The share of datagrams that are delayed by three more mean delays.
     pub reordered: f64,
 }
 
@@ -131,18 +131,18 @@
 ///
 /// # Errors
 ///
-/// All that is wrong with it.
+/// All diagnostics, if the scenario is invalid.
 pub fn open(path: &Path) -> Result<Scenario, Vec<Diagnostic>> {
     let (scenario, mut document) = Document::open::<schema::Day>(path, "Day")?;
     let scenario = check(scenario, &mut Fields::new(&mut document, ""));
     document.finish(scenario)
 }
 
-/// Like [`open`], from a text.
+/// Parses and checks a scenario. `file` is the name of the text in diagnostics.
 ///
 /// # Errors
 ///
-/// All that is wrong with it.
+/// All diagnostics, if the scenario is invalid.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, Vec<Diagnostic>> {
     let (scenario, mut document) = Document::parse::<schema::Day>(file, text, "Day")?;
     let scenario = check(scenario, &mut Fields::new(&mut document, ""));
@@ -162,7 +162,9 @@
     let front_settings = complete_front_settings(front_settings, fronts, fields);
     let front = front_config::check(&front_settings, fields.message("front"));
     if scenario.stand_in.is_empty() || scenario.stand_in.len() > MAX_SERVERS {
-        fields.report("stand_in", format!("there must be 1 to {MAX_SERVERS} stand-ins"));
+        let message =
+            format!("there are {} servers; there must be from 1 to {MAX_SERVERS}", scenario.stand_in.len());
+        fields.report("stand_in", message);
     }
     let servers = scenario.stand_in.iter().enumerate();
     let servers: Vec<EmulatedServer> =
@@ -189,7 +191,8 @@
     }
 }
 
-/// Fills in the settings that scenarios must leave out.
+/// Sets the fields that a scenario must not set: name, address, number of fronts and servers. Reports those that it
+/// sets.
 fn complete_front_settings(mut front: schema::Front, fronts: u32, fields: &mut Fields<'_>) -> schema::Front {
     let mut fields = fields.message("front");
     let reserved = [
@@ -198,10 +201,13 @@
         (front.fronts.is_some(), "fronts"),
     ];
     for (_, field) in reserved.into_iter().filter(|(is_set, _)| *is_set) {
-        fields.report(field, format!("{field} is filled in by the rig and must not be here"));
+        fields.report(field, format!("{field} is set by the test harness; it must not be set in a scenario"));
     }
     if !front.server.is_empty() {
-        fields.report("server", "servers are filled in by the rig: say them as stand_in");
+        fields.report(
+            "server",
+            "servers are set by the test harness from stand_in; they must not be set in a scenario",
+        );
     }
     front.name = Some("front".to_owned());
     front.listen = Some("127.0.0.1:0".to_owned());
@@ -247,12 +253,13 @@
     }
 }
 
-/// There must be a share for each of `count` items, and not all of them zero.
+/// Checks that there is a share for each of `count` items, and that not all shares are zero.
 fn check_shares(field: &str, shares: &[f64], count: usize, fields: &mut Fields<'_>) {
-    let are_usable = shares.iter().all(|share| *share >= 0.0 && share.is_finite());
-    let has_any = shares.iter().sum::<f64>() > 0.0;
-    if shares.len() != count || (count > 0 && !(are_usable && has_any)) {
-        let message = format!("{field} has {} shares; it must have {count}, not all 0", shares.len());
+    let are_valid = shares.iter().all(|share| *share >= 0.0 && share.is_finite());
+    let are_not_all_zero = shares.iter().sum::<f64>() > 0.0;
+    if shares.len() != count || (count > 0 && !(are_valid && are_not_all_zero)) {
+        let message =
+            format!("{field} has {} shares; it must have {count}, none negative and not all 0", shares.len());
         fields.report(field, message);
     }
 }
@@ -274,8 +281,9 @@
     let is_weight = |weight: &f64| (MIN_WEIGHT..=MAX_WEIGHT).contains(weight);
     if churn.weight.len() != servers || !churn.weight.iter().all(is_weight) {
         let count = churn.weight.len();
-        let message =
-            format!("weight has {count} figures; it must have {servers}, from {MIN_WEIGHT} to {MAX_WEIGHT}");
+        let message = format!(
+            "weight has {count} values; it must have {servers}, each from {MIN_WEIGHT} to {MAX_WEIGHT}"
+        );
         fields.report("weight", message);
     }
     EndpointChurn {
--- a/crates/ochrelead-config/src/server_endpoint.rs
+++ b/crates/ochrelead-config/src/server_endpoint.rs
@@ -1,4 +1,4 @@
-//! The signalling servers as they are listed.
+//! Signalling servers in settings and discovery files.
 
 use std::net::SocketAddr;
 
@@ -10,45 +10,45 @@
 use crate::fields::Fields;
 use crate::schema;
 
-/// The first term of a trunk group's endpoint names by default.
+/// The default for the first term of a trunk group's endpoint names.
 const DEFAULT_TRUNK: &str = "trunk";
 
-/// The least weight that a server may have.
+/// The smallest weight that a server may have.
 pub const MIN_WEIGHT: f64 = 0.001;
-/// The greatest weight that a server may have.
+/// The largest weight that a server may have.
 pub const MAX_WEIGHT: f64 = 1_000.0;
 
-/// A signalling server as it is listed.
+/// A signalling server in settings or a discovery file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEndpoint {
-    /// The domain of its endpoint names.
+    /// The domain of the server's endpoint names.
     pub name: String,
-    /// Where it receives commands.
+    /// The address on which the server receives commands.
     pub address: SocketAddr,
-    /// The number by which destinations name it.
+    /// The number by which a destination names the server.
     pub number: i64,
-    /// The digits that name it as first choice; empty where none do.
+    /// The digits in a called number that select the server as the preferred one; empty if there are none.
     pub dialled: String,
-    /// The first term of its trunk group's endpoint names.
+    /// The first term of the endpoint names of the server's trunk group.
     pub trunk: String,
-    /// How many lines it has; zero where that is not known.
+    /// The number of lines; 0 if unknown.
     pub lines: u32,
-    /// The names of the services that it serves; empty where it serves all.
+    /// The names of the services that the server serves; empty if it serves all.
     pub services: Vec<String>,
-    /// When it last started, where that is known.
+    /// The time of the server's last start, if known.
     pub started: Option<Moment>,
-    /// Whether it takes no new sessions.
+    /// Whether the server is draining and accepts no new sessions.
     pub draining: bool,
-    /// Its part of weighted draws against the other servers' weights.
+    /// The weight of the server in weighted draws, relative to the other servers.
     pub weight: f64,
 }
 
-/// Checks the servers of a message; `path` leads to the message, and is empty or ends with a dot.
+/// Checks the servers of a message. `path` is the path of the message: empty, or ending with a dot.
 pub fn check_servers(servers: &[schema::Server], path: &str, document: &mut Document) -> Vec<ServerEndpoint> {
     check_servers_in(servers, &mut Fields::new(document, path))
 }
 
-/// Checks the servers of the message with these fields.
+/// Checks the servers of the message that `fields` refers to.
 pub(crate) fn check_servers_in(servers: &[schema::Server], fields: &mut Fields<'_>) -> Vec<ServerEndpoint> {
     let mut checked: Vec<ServerEndpoint> = Vec::new();
     for (index, server) in servers.iter().enumerate() {
@@ -77,19 +77,24 @@
     };
     let endpoint_name = format!("{}/1@{}", endpoint.trunk, endpoint.name);
     if endpoint_name.parse::<Endpoint>().is_err() || endpoint.trunk.contains('/') {
-        fields.report("name", format!("{endpoint_name} is no endpoint name"));
+        let message = format!("name and trunk form {endpoint_name:?}, which is not a valid endpoint name");
+        fields.report("name", message);
     }
     if !is_digits(&endpoint.dialled) {
-        fields.report("dialled", format!("dialled is {:?}; it must be digits", endpoint.dialled));
+        fields.report("dialled", format!("dialled is {:?}; it must be digits only", endpoint.dialled));
     }
     endpoint
 }
 
-/// Reports what a server must not share with one listed before it.
+/// Reports digits, number, address or name that a server shares with another one listed before it.
 fn check_conflicts(endpoint: &ServerEndpoint, other: &ServerEndpoint, fields: &mut Fields<'_>) {
-    let have_digits = !other.dialled.is_empty() && !endpoint.dialled.is_empty();
-    if have_digits && overlap(&other.dialled, &endpoint.dialled) {
-        fields.report("dialled", format!("dialled {:?} could mean {} too", endpoint.dialled, other.name));
+    let both_have_digits = !other.dialled.is_empty() && !endpoint.dialled.is_empty();
+    if both_have_digits && overlap(&other.dialled, &endpoint.dialled) {
+        let message = format!(
+            "dialled is {:?}; it must not overlap the digits {:?} of server {}",
+            endpoint.dialled, other.dialled, other.name
+        );
+        fields.report("dialled", message);
     }
     if other.number == endpoint.number {
         fields.report("number", format!("number {} is {}'s too", endpoint.number, other.name));
@@ -98,6 +103,6 @@
         fields.report("address", format!("address {} is {}'s too", endpoint.address, other.name));
     }
     if other.name == endpoint.name {
-        fields.report("name", format!("name {} is another server's too", endpoint.name));
+        fields.report("name", format!("name {} is already used by another server", endpoint.name));
     }
 }
--- a/crates/ochrelead-config/tests/settings.rs
+++ b/crates/ochrelead-config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What is wrong with settings and scenarios: where, and in which words.
+//! Tests the parsing of settings and scenarios, and the position and text of their diagnostics.
 
 use ochrelead_config::numbering_plan::ResolvedNumber;
 use ochrelead_config::{front_config, scenario};
@@ -17,12 +17,12 @@
 server { name: "s1.line" address: "127.0.0.1:2428" number: 5 dialled: "01" }
 "#;
 
-#[test_case("1004711", Some((0, 4)); "first service and server")]
-#[test_case("2014711", Some((1, 5)); "second service and server")]
-#[test_case("2994711", Some((1, -1)); "a server that is not listed")]
-#[test_case("3004711", None; "no service")]
-#[test_case("1a", None; "no digits")]
-#[test_case("", None; "nothing")]
+#[test_case("1004711", Some((0, 4)); "first service and first server")]
+#[test_case("2014711", Some((1, 5)); "second service and second server")]
+#[test_case("2994711", Some((1, -1)); "server digits not listed")]
+#[test_case("3004711", None; "service digits not listed")]
+#[test_case("1a", None; "not only digits")]
+#[test_case("", None; "empty number")]
 fn called_numbers_are_resolved(digits: &str, expected: Option<(usize, i64)>) {
     let front = front_config::parse("front", FRONT).unwrap();
     let expected = expected
@@ -30,27 +30,27 @@
     assert_eq!(front.numbering_plan.resolve(digits), expected);
 }
 
-#[test_case("fronts: 7", "fronts: 0", 4, "fronts is 0; it must be from 1 to 100000"; "zero")]
+#[test_case("fronts: 7", "fronts: 0", 4, "fronts is 0; it must be from 1 to 100000"; "zero fronts")]
 #[test_case("fronts: 7", "fronts: \"7\"", 4, "expected"; "wrong type")]
 #[test_case("fronts: 7", "front: 7", 4, "front"; "unknown field")]
-#[test_case("release_wait_ms: 200", "release_wait_ms: 200 answer_margin_ms: 9000", 5, "less than the shortest timer_limit_ms, 9000"; "no time is left to answer in")]
-#[test_case("release_wait_ms: 200", "", 1, "release_wait_ms is missing"; "missing")]
+#[test_case("release_wait_ms: 200", "release_wait_ms: 200 answer_margin_ms: 9000", 5, "less than the shortest timer_limit_ms, 9000"; "answer margin not below the timer limit")]
+#[test_case("release_wait_ms: 200", "", 1, "release_wait_ms is missing"; "required field missing")]
 #[test_case("number: 5", "number: 4", 10, "number 4 is s0.line's too"; "same number")]
 #[test_case("127.0.0.1:2428", "127.0.0.1:2427", 10, "is s0.line's too"; "same address")]
-#[test_case("127.0.0.1:2428", "here", 10, "it must be like 127.0.0.1:2727"; "no address")]
-#[test_case("dialled: \"2\"", "dialled: \"12\"", 7, "which service \"check\" has too"; "numbers that mean both")]
-#[test_case("value: 3", "value: nan", 7, "value is NaN"; "not a number")]
-#[test_case("value: 3 post_dial_target_ms: 1500", "value: 3 post_dial_target_ms: 9001", 7, "must be from 1 to timer_limit_ms"; "target past the limit")]
-#[test_case("value: 3", "", 7, "value is missing"; "missing inside")]
-#[test_case("trunk: \"norte\"", "trunk: \"a/b\"", 8, "one term"; "trunk")]
-fn settings_are_rejected(valid: &str, invalid: &str, line: usize, message: &str) {
+#[test_case("127.0.0.1:2428", "here", 10, "it must be like 127.0.0.1:2727"; "invalid address")]
+#[test_case("dialled: \"2\"", "dialled: \"12\"", 7, "must not overlap the digits \"1\" of service \"check\""; "overlapping service digits")]
+#[test_case("value: 3", "value: nan", 7, "value is NaN"; "value is NaN")]
+#[test_case("value: 3 post_dial_target_ms: 1500", "value: 3 post_dial_target_ms: 9001", 7, "must be from 1 to timer_limit_ms"; "target above the timer limit")]
+#[test_case("value: 3", "", 7, "value is missing"; "required field of a service missing")]
+#[test_case("trunk: \"norte\"", "trunk: \"a/b\"", 8, "one term"; "trunk of two terms")]
+fn invalid_settings_are_rejected(valid: &str, invalid: &str, line: usize, message: &str) {
     let diagnostics = front_config::parse("front", &FRONT.replacen(valid, invalid, 1)).unwrap_err();
     assert_eq!(diagnostics[0].line, line, "{diagnostics:?}");
     assert!(diagnostics[0].message.contains(message), "{diagnostics:?}");
 }
 
 #[test]
-fn all_diagnostics_are_reported_at_once() {
+fn all_errors_are_reported_together() {
     let text =
         FRONT.replace("fronts: 7", "fronts: 0").replace("value: 1", "value: -1").replace("number: 5", "");
     let lines: Vec<usize> =
@@ -67,12 +67,12 @@
 trouble { kind: "slow" at_ms: 1000 length_ms: 2000 which: 0 size: 3 }
 "#;
 
-#[test_case("\"slow\"", "\"slo\"", 7, "must be one of crash"; "kind")]
-#[test_case("which: 0", "which: 1", 7, "there are only 1"; "which")]
-#[test_case("service_share: 1", "service_share: [1, 2]", 6, "it must have 1"; "shares")]
-#[test_case("front {", "front { name: \"x\"", 2, "filled in by the rig"; "name")]
-#[test_case("value: 1", "value: 0", 3, "value is 0"; "inside the front")]
-fn scenarios_are_rejected(valid: &str, invalid: &str, line: usize, message: &str) {
+#[test_case("\"slow\"", "\"slo\"", 7, "must be one of crash"; "unknown fault kind")]
+#[test_case("which: 0", "which: 1", 7, "which is 1; there are only 1"; "target out of range")]
+#[test_case("service_share: 1", "service_share: [1, 2]", 6, "it must have 1"; "too many service shares")]
+#[test_case("front {", "front { name: \"x\"", 2, "name is set by the test harness"; "reserved field is set")]
+#[test_case("value: 1", "value: 0", 3, "value is 0"; "invalid field in the front settings")]
+fn invalid_scenarios_are_rejected(valid: &str, invalid: &str, line: usize, message: &str) {
     assert!(scenario::parse("day", SCENARIO).is_ok());
     let diagnostics = scenario::parse("day", &SCENARIO.replacen(valid, invalid, 1)).unwrap_err();
     assert!(diagnostics[0].line == line && diagnostics[0].message.contains(message), "{diagnostics:?}");
