--- a/crates/ochrelead-config/src/faults.rs
+++ b/crates/ochrelead-config/src/faults.rs
@@ -4,7 +4,7 @@
 
 use crate::fields::Fields;
 use crate::millis;
-use crate::schema;
+use crate::schema::Trouble as FaultMessage;
 
 /// The kind of a fault. Magnitude and duration are those of the [`InjectedFault`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -142,7 +142,7 @@
 }
 
 /// Checks a fault. If it names no targets, the first ones are taken, by their share of all, at least one.
-pub(crate) fn check(fault: &schema::Trouble, counts: TargetCounts, mut fields: Fields<'_>) -> InjectedFault {
+pub(crate) fn check(fault: &FaultMessage, counts: TargetCounts, mut fields: Fields<'_>) -> InjectedFault {
     let kind = check_kind(fault, &mut fields);
     let count = match kind.target() {
         FaultTarget::Fronts => Some(counts.fronts),
@@ -171,7 +171,7 @@
     }
 }
 
-fn check_kind(fault: &schema::Trouble, fields: &mut Fields<'_>) -> FaultKind {
+fn check_kind(fault: &FaultMessage, fields: &mut Fields<'_>) -> FaultKind {
     let name = fields.required("kind", fault.kind.clone());
     let kind = FaultKind::ALL.iter().find(|(known, _)| *known == name).map(|(_, kind)| *kind);
     if kind.is_none() && fault.kind.is_some() {
--- a/crates/ochrelead-config/src/front_config.rs
+++ b/crates/ochrelead-config/src/front_config.rs
@@ -85,8 +85,8 @@
     let slow_start = check_slow_start(front.cold.unwrap_or_default(), fields);
     let over_quota_value_share = front.over_share_worth.unwrap_or(1.0);
     fields.in_range("over_share_worth", over_quota_value_share, 0.0, 1.0);
-    let turn_ms = front.turn_ms.unwrap_or(1);
-    fields.in_range("turn_ms", f64::from(turn_ms), 1.0, 100.0);
+    let min_interval_ms = front.turn_ms.unwrap_or(1);
+    fields.in_range("turn_ms", f64::from(min_interval_ms), 1.0, 100.0);
     let max_sessions = front.most_held.unwrap_or(100_000);
     fields.in_range("most_held", f64::from(max_sessions), 1.0, 1_000_000.0);
     let answer_margin_ms = check_answer_margin(front, fields);
@@ -99,7 +99,7 @@
         max_invites: front.most_invites.unwrap_or(0),
         max_retry_after: millis(front.longest_away_ms.unwrap_or(0)),
         resend_delay: millis(fields.required("release_wait_ms", front.release_wait_ms)),
-        min_turn_interval: millis(turn_ms),
+        min_turn_interval: millis(min_interval_ms),
         ..slow_start
     };
     let service_digits = front.service.iter().map(|service| service.dialled.clone().unwrap_or_default());
--- a/crates/ochrelead-config/src/scenario.rs
+++ b/crates/ochrelead-config/src/scenario.rs
@@ -10,7 +10,7 @@
 use crate::fields::Fields;
 use crate::front_config::{self, FrontConfig};
 use crate::millis;
-use crate::schema;
+use crate::schema::{self, Day as ScenarioMessage, StandIn as ServerMessage};
 use crate::server_endpoint::{MAX_WEIGHT, MIN_WEIGHT};
 
 /// A checked scenario.
@@ -133,7 +133,7 @@
 ///
 /// All diagnostics, if the scenario is invalid.
 pub fn open(path: &Path) -> Result<Scenario, Vec<Diagnostic>> {
-    let (scenario, mut document) = Document::open::<schema::Day>(path, "Day")?;
+    let (scenario, mut document) = Document::open::<ScenarioMessage>(path, "Day")?;
     let scenario = check(scenario, &mut Fields::new(&mut document, ""));
     document.finish(scenario)
 }
@@ -144,7 +144,7 @@
 ///
 /// All diagnostics, if the scenario is invalid.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, Vec<Diagnostic>> {
-    let (scenario, mut document) = Document::parse::<schema::Day>(file, text, "Day")?;
+    let (scenario, mut document) = Document::parse::<ScenarioMessage>(file, text, "Day")?;
     let scenario = check(scenario, &mut Fields::new(&mut document, ""));
     document.finish(scenario)
 }
@@ -153,7 +153,7 @@
 const MAX_SERVERS: usize = 90;
 const MAX_REDIALS: u32 = 20;
 
-fn check(scenario: schema::Day, fields: &mut Fields<'_>) -> Scenario {
+fn check(scenario: ScenarioMessage, fields: &mut Fields<'_>) -> Scenario {
     let length_ms = fields.required("length_ms", scenario.length_ms);
     fields.in_range("length_ms", f64::from(length_ms), 500.0, 3_600_000.0);
     let fronts = fields.required("fronts", scenario.fronts);
@@ -215,7 +215,7 @@
     front
 }
 
-fn check_server(server: &schema::StandIn, mut fields: Fields<'_>) -> EmulatedServer {
+fn check_server(server: &ServerMessage, mut fields: Fields<'_>) -> EmulatedServer {
     let sessions_per_s = fields.required("sessions_per_s", server.sessions_per_s);
     let lines = fields.required("lines", server.lines);
     let report_interval_ms = f64::from(server.told_ms.unwrap_or(400));
--- a/crates/ochrelead-config/tests/settings.rs
+++ b/crates/ochrelead-config/tests/settings.rs
@@ -73,7 +73,7 @@
 #[test_case("front {", "front { name: \"x\"", 2, "name is set by the test harness"; "reserved field is set")]
 #[test_case("value: 1", "value: 0", 3, "value is 0"; "invalid field in the front settings")]
 fn invalid_scenarios_are_rejected(valid: &str, invalid: &str, line: usize, message: &str) {
-    assert!(scenario::parse("day", SCENARIO).is_ok());
-    let diagnostics = scenario::parse("day", &SCENARIO.replacen(valid, invalid, 1)).unwrap_err();
+    assert!(scenario::parse("scenario", SCENARIO).is_ok());
+    let diagnostics = scenario::parse("scenario", &SCENARIO.replacen(valid, invalid, 1)).unwrap_err();
     assert!(diagnostics[0].line == line && diagnostics[0].message.contains(message), "{diagnostics:?}");
 }
--- a/crates/ochrelead-platform/src/caller_messages.rs
+++ b/crates/ochrelead-platform/src/caller_messages.rs
@@ -224,8 +224,9 @@
         .and_then(|time_left| time_left.parse::<f64>().ok())
         .filter(|time_left| time_left.is_finite() && *time_left > 0.0)
         .ok_or(MessageError::MissingTimeLeft)?;
-    let called_number =
-        text_field(&line, "key")?.filter(|key| is_token(key)).ok_or(MessageError::InvalidCalledNumber)?;
+    let called_number = text_field(&line, "key")?
+        .filter(|key| is_valid_called_number(key))
+        .ok_or(MessageError::InvalidCalledNumber)?;
     let tenant = text_field(&line, "tenant");
     let description = line.d.ok_or(MessageError::MissingDescription)?;
     Ok(CallerMessage::SetUp(SetUpRequest {
@@ -288,12 +289,12 @@
     }
 }
 
-/// Returns whether a text can be written into the start line of a SIP message: 1 to 256 visible ASCII characters,
-/// without delimiters of a URI or a quoted string.
-pub fn is_token(text: &str) -> bool {
-    const MAX_TOKEN_LENGTH: usize = 256;
+/// Returns whether a called number can be written into the start line of a SIP message: 1 to 256 visible ASCII
+/// characters, without delimiters of a URI or a quoted string.
+pub fn is_valid_called_number(text: &str) -> bool {
+    const MAX_LENGTH: usize = 256;
     let is_allowed = |byte: u8| byte.is_ascii_graphic() && !b"@<>\"\\;?".contains(&byte);
-    !text.is_empty() && text.len() <= MAX_TOKEN_LENGTH && text.bytes().all(is_allowed)
+    !text.is_empty() && text.len() <= MAX_LENGTH && text.bytes().all(is_allowed)
 }
 
 fn encode_line(value: &Value) -> Vec<u8> {
--- a/crates/ochrelead-sip/src/framing.rs
+++ b/crates/ochrelead-sip/src/framing.rs
@@ -78,7 +78,7 @@
         message.body = self.buffer[body_start..body_end].to_vec();
         self.buffer.drain(..body_end);
         self.searched_to = 0;
-        // If Content-Length is too small, the rest of the body stands where the next message must begin.
+        // If Content-Length is too small, the remaining body bytes are read as the next message.
         self.check_next_message()?;
         if self.buffer.is_empty() && self.buffer.capacity() > MAX_MESSAGE_LENGTH / 4 {
             self.buffer = Vec::new();
