--- a/crates/ochrelead-config/src/scenario.rs
+++ b/crates/ochrelead-config/src/scenario.rs
@@ -81,7 +81,7 @@
     /// The work of an answer, and also of a release.
     pub follow_up_work: f64,
     /// Whether a cancelled set-up costs the work of reading it at the most.
-    pub drops_cancelled: bool,
+    pub discards_cancelled_work: bool,
     /// Whether answers and releases are processed before new set-ups.
     pub finishes_first: bool,
 }
@@ -233,7 +233,7 @@
         reject_work: fields.in_range("reject", server.reject.unwrap_or(0.2), 0.0, 1.0),
         repeat_work: fields.in_range("repeat", server.repeat.unwrap_or(0.4), 0.0, 1.0),
         follow_up_work: fields.in_range("follow", server.follow.unwrap_or(0.35), 0.0, 1.0),
-        drops_cancelled: server.cancel_drops.unwrap_or(false),
+        discards_cancelled_work: server.cancel_drops.unwrap_or(false),
         finishes_first: server.finish_first.unwrap_or(false),
     }
 }
--- a/crates/ochrelead-emulator/src/server/processor.rs
+++ b/crates/ochrelead-emulator/src/server/processor.rs
@@ -121,7 +121,7 @@
                 && set_up.call_id == call_id
             {
                 set_up.is_cancelled = true;
-                if self.config.drops_cancelled {
+                if self.config.discards_cancelled_work {
                     job.work = job.work.min(read_work);
                 }
             }
