--- a/crates/ochrelead-config/src/scenario.rs
+++ b/crates/ochrelead-config/src/scenario.rs
@@ -83,7 +83,7 @@
     /// Whether a cancelled set-up costs the work of reading it at the most.
     pub discards_cancelled_work: bool,
     /// Whether answers and releases are processed before new set-ups.
-    pub finishes_first: bool,
+    pub prioritizes_follow_ups: bool,
 }
 
 impl EmulatedServer {
@@ -234,7 +234,7 @@
         repeat_work: fields.in_range("repeat", server.repeat.unwrap_or(0.4), 0.0, 1.0),
         follow_up_work: fields.in_range("follow", server.follow.unwrap_or(0.35), 0.0, 1.0),
         discards_cancelled_work: server.cancel_drops.unwrap_or(false),
-        finishes_first: server.finish_first.unwrap_or(false),
+        prioritizes_follow_ups: server.finish_first.unwrap_or(false),
     }
 }
 
--- a/crates/ochrelead-emulator/src/server/processor.rs
+++ b/crates/ochrelead-emulator/src/server/processor.rs
@@ -104,7 +104,7 @@
     pub(super) fn enqueue(&mut self, share: f64, task: Task) {
         let is_follow_up = matches!(task, Task::Answer(_) | Task::Release { .. });
         let job = Job { work: self.config.set_up_time().scaled(share), task };
-        if is_follow_up && self.config.finishes_first {
+        if is_follow_up && self.config.prioritizes_follow_ups {
             self.priority_queue.push_back(job);
         } else {
             self.queue.push_back(job);
