--- a/crates/ochrelead-config/src/faults.rs
+++ b/crates/ochrelead-config/src/faults.rs
@@ -92,7 +92,7 @@
     }
 
     /// Returns whether the fault is injected into fronts.
-    pub fn is_at_fronts(self) -> bool {
+    pub fn targets_fronts(self) -> bool {
         self.target() == FaultTarget::Fronts
     }
 
--- a/crates/ochrelead-sim/src/experiment.rs
+++ b/crates/ochrelead-sim/src/experiment.rs
@@ -173,7 +173,7 @@
         scenario.servers.truncate(size.servers);
         // A fault does not strike a party that is not there.
         for fault in scenario.faults.iter_mut().filter(|fault| fault.kind != FaultKind::Redials) {
-            let targets = if fault.kind.is_at_fronts() { size.fronts } else { size.servers };
+            let targets = if fault.kind.targets_fronts() { size.fronts } else { size.servers };
             fault.targets.retain(|target| *target < targets);
         }
         scenario.front.controller.fronts = size.fronts as u32;
