--- a/crates/ochrelead-front/src/main.rs
+++ b/crates/ochrelead-front/src/main.rs
@@ -20,7 +20,7 @@
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_front::engine::Engine;
 use ochrelead_front::host::{self, FrontPaths};
-use ochrelead_host::STATUS;
+use ochrelead_host::STATUS_FILE;
 use ochrelead_host::clock::Clock;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -50,7 +50,7 @@
 }
 
 fn print_status(state: &Path) -> ExitCode {
-    let path = state.join(STATUS);
+    let path = state.join(STATUS_FILE);
     let text = match fs::read_to_string(&path) {
         Ok(text) => text,
         Err(error) => return fail(EXIT_INVALID_INPUT, format_args!("{}: {error}", path.display())),
--- a/crates/ochrelead-front/src/state_writer.rs
+++ b/crates/ochrelead-front/src/state_writer.rs
@@ -9,7 +9,7 @@
 use ochrelead_discovery::persistence::PersistedEndpoints;
 use ochrelead_discovery::store;
 use ochrelead_host::state_folder::{Durability, StateFolder, replace};
-use ochrelead_host::{COUNTERS, STATUS};
+use ochrelead_host::{METRICS_FILE, STATUS_FILE};
 use tracing::warn;
 
 /// What is to be written.
@@ -71,8 +71,8 @@
         }
         let saved = newest_endpoints.map_or(Ok(()), |endpoints| store::save(&mut folder, &endpoints));
         let shown = newest_status.map_or(Ok(()), |(status, counters)| {
-            replace(&mut folder, STATUS, status.as_bytes(), Durability::Unsynced)
-                .and_then(|()| replace(&mut folder, COUNTERS, counters.as_bytes(), Durability::Unsynced))
+            replace(&mut folder, STATUS_FILE, status.as_bytes(), Durability::Unsynced)
+                .and_then(|()| replace(&mut folder, METRICS_FILE, counters.as_bytes(), Durability::Unsynced))
         });
         if let Err(error) = saved.and(shown) {
             warn!(%error, "state could not be written");
--- a/crates/ochrelead-host/src/lib.rs
+++ b/crates/ochrelead-host/src/lib.rs
@@ -32,6 +32,6 @@
 
 /// The name of the status file in a state folder, which `ochrelead-front status` prints. Its first line holds the
 /// time at which it was written.
-pub const STATUS: &str = "status";
+pub const STATUS_FILE: &str = "status";
 /// The name of the metrics file in a state folder, in the Prometheus text format.
-pub const COUNTERS: &str = "counters.prom";
+pub const METRICS_FILE: &str = "counters.prom";
--- a/crates/ochrelead-node/src/persistence.rs
+++ b/crates/ochrelead-node/src/persistence.rs
@@ -10,7 +10,7 @@
 
 use async_channel::{Receiver, Sender as Reports};
 use ochrelead_host::state_folder::{Disk, Durability, StateFolder, replace};
-use ochrelead_host::{COUNTERS, STATUS};
+use ochrelead_host::{METRICS_FILE, STATUS_FILE};
 use tracing::warn;
 
 const VOTER_STATE: &str = "promises";
@@ -115,8 +115,8 @@
     fn write_status(&mut self, report: &StatusReport) {
         let mut replace_unsynced =
             |name, text: &str| replace(&mut self.folder, name, text.as_bytes(), Durability::Unsynced);
-        let written = replace_unsynced(STATUS, &report.status)
-            .and_then(|()| replace_unsynced(COUNTERS, &report.counters));
+        let written = replace_unsynced(STATUS_FILE, &report.status)
+            .and_then(|()| replace_unsynced(METRICS_FILE, &report.counters));
         if let Err(error) = written {
             warn!(%error, "status not written");
         }
