--- a/crates/ochrelead-discovery/src/store.rs
+++ b/crates/ochrelead-discovery/src/store.rs
@@ -5,7 +5,7 @@
 
 use std::io;
 
-use ochrelead_host::state_folder::{Disk, Durability, replace_after};
+use ochrelead_host::state_folder::{Disk, Durability, replace_with_hook};
 use thiserror::Error;
 
 use crate::persistence::{PersistedEndpoints, RestoreError};
@@ -39,7 +39,7 @@
 /// Where the disk fails; what was saved before can still be read.
 pub fn save(disk: &mut impl Disk, endpoints: &PersistedEndpoints) -> io::Result<()> {
     let contents = endpoints.encode();
-    replace_after(disk, PRESENT, contents.as_bytes(), Durability::Synced, keep_present)
+    replace_with_hook(disk, PRESENT, contents.as_bytes(), Durability::Synced, keep_present)
 }
 
 /// Keeps the present file as the former one. One that is torn must not replace a former one that is whole.
--- a/crates/ochrelead-host/src/state_folder.rs
+++ b/crates/ochrelead-host/src/state_folder.rs
@@ -58,7 +58,7 @@
 /// If an operation on the disk fails. The file then has its old contents, unless the operation was the sync of the
 /// folder.
 pub fn replace(disk: &mut impl Disk, name: &str, contents: &[u8], durability: Durability) -> io::Result<()> {
-    replace_after(disk, name, contents, durability, |_| Ok(()))
+    replace_with_hook(disk, name, contents, durability, |_| Ok(()))
 }
 
 /// Replaces a file as [`replace`] does, and calls `before_rename` between the write of the new contents and the rename.
@@ -67,7 +67,7 @@
 /// # Errors
 ///
 /// If an operation on the disk or `before_rename` fails.
-pub fn replace_after<D: Disk>(
+pub fn replace_with_hook<D: Disk>(
     disk: &mut D,
     name: &str,
     contents: &[u8],
--- a/crates/ochrelead-host/tests/state_folder.rs
+++ b/crates/ochrelead-host/tests/state_folder.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use ochrelead_host::state_folder::{Disk, Durability, StateFolder, replace, replace_after};
+use ochrelead_host::state_folder::{Disk, Durability, StateFolder, replace, replace_with_hook};
 
 const NAME: &str = "state";
 const BACKUP_NAME: &str = "state.former";
@@ -90,7 +90,7 @@
 #[test]
 fn old_file_is_backed_up_after_the_new_contents_are_written() {
     let mut disk = TestDisk::new(usize::MAX, 0);
-    replace_after(&mut disk, NAME, NEW, Durability::Synced, back_up).unwrap();
+    replace_with_hook(&mut disk, NAME, NEW, Durability::Synced, back_up).unwrap();
     let expected =
         ["write state.next Synced", "rename state state.former", "rename state.next state", "sync"];
     assert_eq!(disk.operations, expected);
@@ -126,7 +126,7 @@
 fn replacement_with_backup_killed_at_any_point_leaves_backup_or_new_contents() {
     for (remaining_operations, torn_length) in kill_points(4) {
         let mut disk = TestDisk::new(remaining_operations, torn_length);
-        let result = replace_after(&mut disk, NAME, NEW, Durability::Synced, back_up);
+        let result = replace_with_hook(&mut disk, NAME, NEW, Durability::Synced, back_up);
         let expected = match remaining_operations {
             0 | 1 => (Some(OLD), None),
             2 => (None, Some(OLD)),
@@ -159,7 +159,7 @@
 fn new_file_is_not_renamed_if_the_backup_fails() {
     let mut disk = TestDisk::new(usize::MAX, 0);
     let result =
-        replace_after(&mut disk, NAME, NEW, Durability::Synced, |_| Err(io::Error::other("unreadable")));
+        replace_with_hook(&mut disk, NAME, NEW, Durability::Synced, |_| Err(io::Error::other("unreadable")));
     assert!(result.is_err());
     assert_eq!(disk.operations, ["write state.next Synced"]);
     assert_eq!(disk.contents(NAME), Some(OLD));
