--- a/crates/ochrelead-config/src/faults.rs
+++ b/crates/ochrelead-config/src/faults.rs
@@ -141,7 +141,8 @@
     pub(crate) servers: usize,
 }
 
-/// Checks a fault. If it names no targets, the first ones are taken, by their share of all, at least one.
+/// Checks a fault. If it names no fronts or servers, it affects the first ones: the share `part` of all, rounded up, but
+/// at least one.
 pub(crate) fn check(fault: &FaultMessage, counts: TargetCounts, mut fields: Fields<'_>) -> InjectedFault {
     let kind = check_kind(fault, &mut fields);
     let count = match kind.target() {
--- a/crates/ochrelead-platform/src/configuration.rs
+++ b/crates/ochrelead-platform/src/configuration.rs
@@ -25,7 +25,7 @@
     pub peer_listen: Option<SocketAddr>,
     /// The addresses for datagrams to the fronts, including this one, indexed by front number.
     pub peers: Vec<SocketAddr>,
-    /// An address from which datagrams reach all fronts, if there is one.
+    /// The address to which a datagram for all fronts is sent, if there is one.
     pub peers_all: Option<SocketAddr>,
     /// The position from which to follow the coordinator's events.
     pub event_cursor: EventCursor,
--- a/crates/ochrelead-platform/src/settings.rs
+++ b/crates/ochrelead-platform/src/settings.rs
@@ -130,8 +130,8 @@
         optional_span(self.rules.stop_sending_within_ms)
     }
 
-    /// Returns the number of this front among its peers, or `None` if it is not set or fronts must not
-    /// exchange messages.
+    /// Returns the number of this front among its peers, or `None` if it is not set or fronts must not exchange
+    /// messages.
     pub fn peer_number(&self) -> Option<u32> {
         self.index.filter(|_| self.limits.peers)
     }
--- a/crates/ochrelead-sip/src/message.rs
+++ b/crates/ochrelead-sip/src/message.rs
@@ -5,7 +5,7 @@
 use crate::framing::FramingError;
 
 const SIP_VERSION: &str = "SIP/2.0";
-/// The methods that are registered for SIP. Any other word at the start of a line is taken for the remainder of a
+/// The methods that are registered for SIP. A request line with another method is taken for the remainder of a
 /// truncated message.
 const METHODS: [&str; 14] = [
     "ACK",
