--- a/crates/ochrelead-discovery/src/store.rs
+++ b/crates/ochrelead-discovery/src/store.rs
@@ -5,7 +5,7 @@
 
 use std::io;
 
-use ochrelead_host::state_folder::{Disk, Durability, replace_after};
+use ochrelead_host::state_folder::{Disk, Durability, replace_with_hook};
 use thiserror::Error;
 
 use crate::persistence::{PersistedEndpoints, RestoreError};
@@ -39,7 +39,7 @@
 /// If the disk fails. The endpoints saved before can still be loaded.
 pub fn save(disk: &mut impl Disk, endpoints: &PersistedEndpoints) -> io::Result<()> {
     let contents = endpoints.encode();
-    replace_after(disk, CURRENT, contents.as_bytes(), Durability::Synced, rotate_current)
+    replace_with_hook(disk, CURRENT, contents.as_bytes(), Durability::Synced, rotate_current)
 }
 
 /// Renames the current file to the previous one if it can be restored. A torn current file must not replace a complete
--- a/crates/ochrelead-front/src/state_writer.rs
+++ b/crates/ochrelead-front/src/state_writer.rs
@@ -10,7 +10,7 @@
 use ochrelead_discovery::persistence::PersistedEndpoints;
 use ochrelead_discovery::store;
 use ochrelead_host::state_folder::{Durability, StateFolder, replace};
-use ochrelead_host::{COUNTERS, STATUS};
+use ochrelead_host::{METRICS_FILE, STATUS_FILE};
 use tracing::warn;
 
 enum StateWrite {
@@ -72,8 +72,8 @@
         let endpoints_result =
             newest_endpoints.map_or(Ok(()), |endpoints| store::save(&mut folder, &endpoints));
         let status_result = newest_status.map_or(Ok(()), |(status, counters)| {
-            replace(&mut folder, STATUS, status.as_bytes(), Durability::Unsynced)
-                .and_then(|()| replace(&mut folder, COUNTERS, counters.as_bytes(), Durability::Unsynced))
+            replace(&mut folder, STATUS_FILE, status.as_bytes(), Durability::Unsynced)
+                .and_then(|()| replace(&mut folder, METRICS_FILE, counters.as_bytes(), Durability::Unsynced))
         });
         if let Err(error) = endpoints_result.and(status_result) {
             warn!(%error, "state files could not be written");
