--- a/crates/ochrelead-verify/src/commands/soak.rs
+++ b/crates/ochrelead-verify/src/commands/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: dense trials of several processes, with faults from seeds.
+//! The `soak` command: runs trials of several node processes, with faults drawn from seeds, and prints their results.
 
 use std::ops::Range;
 use std::path::PathBuf;
@@ -11,25 +11,26 @@
 use ochrelead_verify::soak::scenario::Scenario;
 use ochrelead_verify::soak::trial::{self, TrialReport};
 
-/// How trials are run.
+/// Options of the `soak` command.
 pub(crate) struct SoakOptions {
     pub(crate) program: PathBuf,
-    /// Trials at a time.
+    /// The number of trials that run concurrently.
     pub(crate) parallel: u8,
     pub(crate) folder: PathBuf,
     pub(crate) log_level: String,
-    /// Nodes of each trial; drawn where it is `None`.
+    /// The number of nodes in each trial; `None` to draw it from the seed.
     pub(crate) nodes: Option<usize>,
     pub(crate) verbose: bool,
 }
 
-/// What came of the trials so far.
+/// Results of the trials so far.
 #[derive(Default)]
 struct Tally {
     trials: usize,
     set_ups: usize,
     failing_seeds: Vec<u64>,
-    broken: Vec<String>,
+    /// The seeds whose trials could not be run, each with the error.
+    errors: Vec<String>,
 }
 
 pub(crate) fn run(seeds: Range<u64>, options: &SoakOptions) -> ExitCode {
@@ -55,12 +56,12 @@
     });
     let tally = tally.into_inner().unwrap_or_default();
     let failing = tally.failing_seeds.len();
-    println!("{} trials, {} set-ups, {failing} trials with a broken rule", tally.trials, tally.set_ups);
+    println!("{} trials, {} set-ups, {failing} trials with violations", tally.trials, tally.set_ups);
     if failing > 0 {
         println!("seeds: {:?}", tally.failing_seeds);
     }
-    if !tally.broken.is_empty() {
-        eprintln!("ochrelead-verify: trials not run: {}", tally.broken.join("; "));
+    if !tally.errors.is_empty() {
+        eprintln!("ochrelead-verify: trials that could not be run: {}", tally.errors.join("; "));
         return ExitCode::from(2);
     }
     if failing == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
@@ -76,7 +77,7 @@
                     self.failing_seeds.push(seed);
                 }
             }
-            Err(error) => self.broken.push(format!("seed {seed}: {error}")),
+            Err(error) => self.errors.push(format!("seed {seed}: {error}")),
         }
     }
 }
@@ -93,19 +94,19 @@
     let Ok(report) = report else { return };
     let (set_ups, stalled) = (report.set_ups, report.stalled);
     let violations = report.violations.len();
-    let (nodes, began) = (report.nodes, report.began.as_secs_f64());
+    let (nodes, started_unix) = (report.nodes, report.started_unix.as_secs_f64());
     println!(
-        "seed {seed}: {nodes} nodes, {set_ups} set-ups, machine late by {stalled:?} in all, {violations} broken"
+        "seed {seed}: {nodes} nodes, {set_ups} set-ups, machine stalled for {stalled:?}, {violations} violations"
     );
     if violations > 0 {
-        println!("  second 0 was {began:.3} s of Unix time");
+        println!("  the times below count from Unix time {started_unix:.3} s");
     }
     for violation in &report.violations {
         print!("  {violation}");
     }
     if options.verbose {
         let scenario = Scenario::draw(seed, options.nodes);
-        println!("  deadline {:?}, {:.0} set-ups a second and node", scenario.deadline, scenario.rate);
+        println!("  deadline {:?}, {:.0} set-ups per second and node", scenario.deadline, scenario.rate);
         scenario.steps.iter().for_each(|step| println!("  step {step:?}"));
         report.history.entries.iter().for_each(|entry| println!("  {entry}"));
     }
--- a/crates/ochrelead-verify/src/soak/traffic.rs
+++ b/crates/ochrelead-verify/src/soak/traffic.rs
@@ -1,4 +1,4 @@
-//! The callers of one node as a whole: connections, set-ups and early ends.
+//! The emulated callers of one node: their connections, set-ups and cancellations.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -15,22 +15,22 @@
 use super::scenario::Scenario;
 use super::scheduler::Scheduler;
 
-/// Connections that callers keep to a node.
+/// Connections that the callers of a node keep open.
 const CONNECTIONS: usize = 6;
+/// Delay after a failed attempt to connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(5);
-/// The shortest that a caller waits, as a part of the deadline.
-const SHORTEST_WAIT: f64 = 0.3;
-/// What little time some callers leave, in milliseconds.
+/// The shortest usual wait of a caller, as a share of the deadline.
+const MIN_WAIT_SHARE: f64 = 0.3;
+/// The waits of callers that leave very little time, in milliseconds.
 const SHORT_WAIT_MS: Range<u64> = 1..60;
-/// Callers that come again at a time.
+/// The most refused set-ups that are repeated at a time.
 const MAX_REPEATS: u64 = 5;
 
-/// Whether callers open new connections to a node.
+/// Whether callers open new connections to a node. Open connections stay in use in either case.
 #[derive(Clone, Copy, Debug)]
-enum Admission {
-    Open,
-    /// Connections that are open are used on.
-    OpenUntil(Instant),
+enum ConnectPolicy {
+    Always,
+    Until(Instant),
 }
 
 /// The callers of a node.
@@ -45,13 +45,13 @@
     impatience: f64,
     pub(super) seed: u64,
     calls: Arc<CallNumbers>,
-    /// Set-ups that were refused and have not been repeated.
+    /// The number of refused set-ups that have not been repeated.
     refusals: Arc<AtomicU64>,
-    admission: Mutex<Admission>,
+    connect_policy: Mutex<ConnectPolicy>,
 }
 
 impl NodeTraffic {
-    /// The callers that a scenario gives to a node.
+    /// Creates the callers of a node as the scenario describes them.
     pub fn new(node: usize, listen: SocketAddr, scenario: &Scenario, calls: Arc<CallNumbers>) -> NodeTraffic {
         NodeTraffic {
             node,
@@ -63,34 +63,35 @@
             seed: scenario.seed.wrapping_mul(1_000_003) + node as u64,
             calls,
             refusals: Arc::default(),
-            admission: Mutex::new(Admission::Open),
+            connect_policy: Mutex::new(ConnectPolicy::Always),
         }
     }
 
-    /// No new connections come some time from now on.
-    pub fn leave_after(&self, delay: Duration) {
-        self.set_admission(Admission::OpenUntil(Instant::now() + delay));
+    /// Callers stop opening connections after a delay.
+    pub fn stop_connecting_after(&self, delay: Duration) {
+        self.set_connect_policy(ConnectPolicy::Until(Instant::now() + delay));
     }
 
-    /// New connections come again.
-    pub fn enter(&self) {
-        self.set_admission(Admission::Open);
+    /// Callers open connections again.
+    pub fn resume_connecting(&self) {
+        self.set_connect_policy(ConnectPolicy::Always);
     }
 
-    fn set_admission(&self, admission: Admission) {
-        *self.admission.lock().unwrap_or_else(PoisonError::into_inner) = admission;
+    fn set_connect_policy(&self, policy: ConnectPolicy) {
+        *self.connect_policy.lock().unwrap_or_else(PoisonError::into_inner) = policy;
     }
 
-    fn admits(&self) -> bool {
-        match *self.admission.lock().unwrap_or_else(PoisonError::into_inner) {
-            Admission::Open => true,
-            Admission::OpenUntil(until) => Instant::now() < until,
+    fn may_connect(&self) -> bool {
+        match *self.connect_policy.lock().unwrap_or_else(PoisonError::into_inner) {
+            ConnectPolicy::Always => true,
+            ConnectPolicy::Until(until) => Instant::now() < until,
         }
     }
 
-    pub(super) fn set_up(&self, rng: &mut impl Rng) -> SetUp {
+    /// Draws the next set-up.
+    pub(super) fn draw_set_up(&self, rng: &mut impl Rng) -> SetUp {
         let is_short = rng.random_bool(self.impatience);
-        let usual_wait = self.deadline.mul_f64(rng.random_range(SHORTEST_WAIT..1.0));
+        let usual_wait = self.deadline.mul_f64(rng.random_range(MIN_WAIT_SHARE..1.0));
         SetUp {
             call: self.calls.next(),
             wait: if is_short { Duration::from_millis(rng.random_range(SHORT_WAIT_MS)) } else { usual_wait },
@@ -99,15 +100,15 @@
     }
 }
 
-/// Starts the threads of a node's callers; they end once they are told to.
+/// Starts the threads of a node's callers, which end once `stop` is set.
 pub fn start(
     traffic: Arc<NodeTraffic>,
     recorder: Arc<Recorder>,
     stop: Arc<AtomicBool>,
 ) -> Vec<JoinHandle<()>> {
-    let crowd = (0..traffic.crowd).filter_map(|_| open(&traffic, &recorder)).collect();
-    let main = thread::spawn(move || Driver::new(traffic, recorder, crowd).run(&stop));
-    vec![main]
+    let silent_connections = (0..traffic.crowd).filter_map(|_| open(&traffic, &recorder)).collect();
+    let driver = thread::spawn(move || Driver::new(traffic, recorder, silent_connections).run(&stop));
+    vec![driver]
 }
 
 pub(super) fn open(traffic: &NodeTraffic, recorder: &Arc<Recorder>) -> Option<CallerConnection> {
@@ -115,20 +116,32 @@
     CallerConnection::open(traffic.node, traffic.listen, refusals, recorder.clone()).ok()
 }
 
+/// Sends the set-ups of a node's callers.
 struct Driver {
     traffic: Arc<NodeTraffic>,
     recorder: Arc<Recorder>,
     connections: Vec<CallerConnection>,
-    /// Connections that say nothing.
-    crowd: Vec<CallerConnection>,
+    /// Connections that never send anything.
+    silent_connections: Vec<CallerConnection>,
     scheduler: Scheduler,
     rng: Pcg64Mcg,
 }
 
 impl Driver {
-    fn new(traffic: Arc<NodeTraffic>, recorder: Arc<Recorder>, crowd: Vec<CallerConnection>) -> Driver {
+    fn new(
+        traffic: Arc<NodeTraffic>,
+        recorder: Arc<Recorder>,
+        silent_connections: Vec<CallerConnection>,
+    ) -> Driver {
         let rng = Pcg64Mcg::seed_from_u64(traffic.seed);
-        Driver { traffic, recorder, connections: Vec::new(), crowd, scheduler: Scheduler::start(), rng }
+        Driver {
+            traffic,
+            recorder,
+            connections: Vec::new(),
+            silent_connections,
+            scheduler: Scheduler::start(),
+            rng,
+        }
     }
 
     fn run(mut self, stop: &AtomicBool) {
@@ -136,16 +149,16 @@
             let pause = -self.rng.random_range(f64::MIN_POSITIVE..1.0).ln() / self.traffic.rate;
             thread::sleep(Duration::from_secs_f64(pause.min(1.0)));
             self.connect_missing();
-            // Callers that were refused come again at once.
+            // Callers repeat refused set-ups at once.
             let repeats = self.traffic.refusals.swap(0, Ordering::Relaxed).min(MAX_REPEATS);
             (0..=repeats).for_each(|_| self.send_one());
         }
-        self.crowd.iter().chain(&self.connections).for_each(CallerConnection::close);
+        self.silent_connections.iter().chain(&self.connections).for_each(CallerConnection::close);
     }
 
     fn connect_missing(&mut self) {
         self.connections.retain(CallerConnection::is_open);
-        while self.connections.len() < CONNECTIONS && self.traffic.admits() {
+        while self.connections.len() < CONNECTIONS && self.traffic.may_connect() {
             match open(&self.traffic, &self.recorder) {
                 Some(connection) => self.connections.push(connection),
                 None => return thread::sleep(RECONNECT_DELAY),
@@ -159,7 +172,7 @@
         }
         let index = self.rng.random_range(0..self.connections.len());
         let connection = self.connections[index].clone();
-        let set_up = self.traffic.set_up(&mut self.rng);
+        let set_up = self.traffic.draw_set_up(&mut self.rng);
         if !connection.set_up(&set_up) {
             return;
         }
--- a/crates/ochrelead-verify/src/soak/trial.rs
+++ b/crates/ochrelead-verify/src/soak/trial.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario: starts the parties, lets the faults happen, and returns the history.
+//! Runs a scenario: starts the nodes and the emulated peers, injects the faults, and audits the history.
 
 mod server_changes;
 
@@ -28,34 +28,36 @@
 use super::server_list::ServerList;
 use super::traffic::{self, NodeTraffic};
 
-/// The grace of the platform's settings.
+/// How long nodes may still send new calls to a draining server.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
+/// How long nodes wait with a re-send after a reset or cancel.
 const RESEND_DELAY: Duration = Duration::from_millis(100);
-/// SIGKILL comes after the longest deadline, counted as so much where it is longer, and the grace.
-const LONGEST_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// New connections keep coming for so long after SIGTERM.
+/// A node gets SIGKILL once the deadline, capped at this value, plus [`SHUTDOWN_GRACE`] has passed since SIGTERM.
+const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
+/// Callers keep opening connections to a node for this long after SIGTERM.
 const NEW_CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
-const STALL_PROBE: Duration = Duration::from_millis(5);
-/// A thread that wakes later than this ran on a machine that is too busy to tell who was late.
+/// How long the thread that detects stalls sleeps at a time.
+const STALL_PROBE_INTERVAL: Duration = Duration::from_millis(5);
+/// If a thread wakes later than this, the machine is too busy for a delay to be blamed on a node.
 const STALL_THRESHOLD: Duration = Duration::from_millis(10);
 
-/// Listeners are closed within this time.
-const CLOSE_TIME: Duration = Duration::from_millis(50);
+/// Time allowed for all listeners to close at the end of a trial.
+const LISTENER_CLOSE_TIME: Duration = Duration::from_millis(50);
 
-/// What came of a trial.
+/// The result of a trial.
 #[derive(Debug)]
 pub struct TrialReport {
-    /// Everything that was seen.
+    /// Everything that was recorded.
     pub history: History,
-    /// The broken rules.
+    /// The violations of the rules, by time.
     pub violations: Vec<Violation>,
     /// The number of nodes.
     pub nodes: usize,
-    /// Second 0 of the history, in Unix time.
-    pub began: Duration,
-    /// The set-ups that callers sent.
+    /// The Unix time at which the history starts.
+    pub started_unix: Duration,
+    /// The number of set-ups that callers sent.
     pub set_ups: usize,
-    /// For how long the machine stood still, in all.
+    /// How long the machine stalled in total.
     pub stalled: Duration,
 }
 
@@ -63,10 +65,10 @@
 ///
 /// # Errors
 ///
-/// Where a party can't be started.
+/// Returns an error if a node, server or coordinator can't be started.
 pub fn run(scenario: &Scenario, config: &TrialConfig) -> Result<TrialReport, TrialError> {
     let trial = Arc::new(Trial::start(scenario, config)?);
-    let began = unix_time().saturating_sub(trial.recorder.now());
+    let started_unix = unix_time().saturating_sub(trial.recorder.now());
     let stop = Arc::new(AtomicBool::new(false));
     let mut threads = vec![probe_stalls(trial.recorder.clone(), stop.clone())];
     for traffic in &trial.traffic {
@@ -75,13 +77,13 @@
     let mut tasks = Vec::new();
     for scheduled in &scenario.steps {
         thread::sleep(scheduled.at.saturating_sub(trial.recorder.now()));
-        tasks.extend(trial.clone().carry_out(scheduled.step)?);
+        tasks.extend(trial.clone().execute(scheduled.step)?);
     }
     thread::sleep(scenario.length.saturating_sub(trial.recorder.now()));
     let history = trial.recorder.history();
     stop.store(true, Ordering::Relaxed);
     for task in tasks.into_iter().chain(threads) {
-        // A task that panicked has said so; what it did is in the history.
+        // A task that panicked has printed its message, and its events are in the history.
         let _ = task.join();
     }
     trial.close();
@@ -91,15 +93,16 @@
     let set_ups = history.entries.iter().filter(|entry| is_set_up(&entry.event)).count();
     let stalled = history.stalled_between(Duration::ZERO, Duration::MAX);
     let nodes = scenario.nodes;
-    Ok(TrialReport { history, violations, nodes, began, set_ups, stalled })
+    Ok(TrialReport { history, violations, nodes, started_unix, set_ups, stalled })
 }
 
-/// Records when the machine is too busy to run this thread in time, or to let it have the record.
+/// Starts a thread that records a stall when the machine wakes it late or another thread holds the record for too
+/// long.
 fn probe_stalls(recorder: Arc<Recorder>, stop: Arc<AtomicBool>) -> JoinHandle<()> {
     thread::spawn(move || {
         while !stop.load(Ordering::Relaxed) {
-            let due = recorder.now() + STALL_PROBE;
-            thread::sleep(STALL_PROBE);
+            let due = recorder.now() + STALL_PROBE_INTERVAL;
+            thread::sleep(STALL_PROBE_INTERVAL);
             let now = recorder.now_recording();
             if now > due + STALL_THRESHOLD {
                 recorder.record_stall(Stall { from: due, until: now });
@@ -108,23 +111,24 @@
     })
 }
 
+/// A running trial.
 struct Trial {
     settings: NodeSettings,
     config: TrialConfig,
     seed: u64,
     recorder: Arc<Recorder>,
     list: Arc<Mutex<ServerList>>,
-    /// The servers in force, by number.
+    /// The current servers, by number.
     servers: Mutex<Vec<Server>>,
-    /// Those that were replaced; they run on until they are removed.
+    /// Replaced servers, which run until they are removed from the list.
     former_servers: Mutex<Vec<Server>>,
     coordinators: Mutex<Vec<Coordinator>>,
     processes: Vec<Mutex<NodeProcess>>,
-    /// How often each node was started again.
-    starts: Vec<AtomicU64>,
+    /// How often each node was restarted.
+    restarts: Vec<AtomicU64>,
     traffic: Vec<Arc<NodeTraffic>>,
     scheduler: Scheduler,
-    /// Counts addresses and seeds that were given out.
+    /// The last number that was used for an address or a seed.
     last_number: AtomicU64,
 }
 
@@ -132,7 +136,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The seed of a node's chance: spread over all numbers, for nodes take their share of a delay from its low bits.
+/// Derives the seed of a node's random generator. The result is spread over all 64 bits, because nodes take their
+/// share of a delay from the low bits.
 fn node_seed(trial_seed: u64, number: u64) -> u64 {
     Pcg64Mcg::seed_from_u64(trial_seed ^ number.rotate_left(u64::BITS / 2)).random()
 }
@@ -147,7 +152,7 @@
 
 impl Trial {
     fn start(scenario: &Scenario, config: &TrialConfig) -> Result<Trial, TrialError> {
-        // Logs of a former run of the same seed would be mixed with these.
+        // Nodes append to their logs, so logs of a former run with this seed would mix with the new ones.
         let _ = fs::remove_dir_all(&config.folder);
         fs::create_dir_all(&config.folder).map_err(failed("folder"))?;
         let recorder = Arc::new(Recorder::default());
@@ -171,8 +176,8 @@
         let mut traffic = Vec::new();
         let calls = Arc::new(CallNumbers::default());
         for node in 0..scenario.nodes {
-            let at = address(config.subnet, COORDINATOR_NET, node as u64, COORDINATOR_PORT);
-            let coordinator = Coordinator::start(node, at, list.clone(), recorder.clone())
+            let coordinator_address = address(config.subnet, COORDINATOR_NET, node as u64, COORDINATOR_PORT);
+            let coordinator = Coordinator::start(node, coordinator_address, list.clone(), recorder.clone())
                 .map_err(failed(format!("coordinator of n{node}")))?;
             let listen = address(config.subnet, NODE_NET, node as u64, NODE_PORT);
             recorder.record(Event::Started { node });
@@ -198,7 +203,7 @@
             servers: Mutex::new(servers),
             former_servers: Mutex::default(),
             coordinators: Mutex::new(coordinators),
-            starts: processes.iter().map(|_| AtomicU64::new(0)).collect(),
+            restarts: processes.iter().map(|_| AtomicU64::new(0)).collect(),
             processes,
             traffic,
             scheduler: Scheduler::start(),
@@ -206,30 +211,33 @@
         })
     }
 
-    /// Frees the addresses.
+    /// Stops coordinators and servers, which frees their addresses.
     fn close(&self) {
         lock(&self.coordinators).iter().for_each(Coordinator::retire);
         lock(&self.servers).iter().chain(lock(&self.former_servers).iter()).for_each(Server::stop);
-        thread::sleep(CLOSE_TIME);
+        thread::sleep(LISTENER_CLOSE_TIME);
     }
 
     fn next_number(&self) -> u64 {
         self.last_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Begins a step; what goes on in the background is returned.
-    fn carry_out(self: Arc<Self>, step: Step) -> Result<Option<JoinHandle<()>>, TrialError> {
+    /// Executes a step; returns the thread of a step that continues in the background.
+    fn execute(self: Arc<Self>, step: Step) -> Result<Option<JoinHandle<()>>, TrialError> {
         match step {
             Step::FailDiscovery { node, fault, length } => {
-                let concerned = lock(&self.coordinators).clone();
-                for (number, coordinator) in concerned.into_iter().enumerate() {
+                let coordinators = lock(&self.coordinators).clone();
+                for (number, coordinator) in coordinators.into_iter().enumerate() {
                     if node.is_none_or(|node| node == number) {
                         if !coordinator.fail(fault) {
                             continue;
                         }
                         self.scheduler.after(length, move || {
                             if let Err(error) = coordinator.recover() {
-                                eprintln!("coordinator {} does not return: {error}", coordinator.address);
+                                eprintln!(
+                                    "coordinator {} can't listen again after a fault: {error}",
+                                    coordinator.address
+                                );
                             }
                         });
                     }
@@ -265,22 +273,22 @@
         Ok(None)
     }
 
-    /// Moves a node's coordinator to a new address and signals the node.
+    /// Moves a node's coordinator to a new address and sends the node SIGHUP.
     fn move_coordinator(self: &Arc<Self>, node: usize) -> Result<(), TrialError> {
-        let at = address(self.config.subnet, COORDINATOR_NET, self.next_number(), COORDINATOR_PORT);
-        let coordinator = Coordinator::start(node, at, self.list.clone(), self.recorder.clone())
-            .map_err(failed(format!("next coordinator of n{node}")))?;
+        let next_address = address(self.config.subnet, COORDINATOR_NET, self.next_number(), COORDINATOR_PORT);
+        let coordinator = Coordinator::start(node, next_address, self.list.clone(), self.recorder.clone())
+            .map_err(failed(format!("new coordinator of n{node}")))?;
         let former = std::mem::replace(&mut lock(&self.coordinators)[node], coordinator.clone());
         coordinator.set_write_faults(former.write_faults());
         former.retire();
         self.recorder.record(Event::DiscoveryMoved { node });
         self.write_configuration(node)?;
-        let starts = self.starts[node].load(Ordering::Relaxed);
+        let restarts = self.restarts[node].load(Ordering::Relaxed);
         let trial = self.clone();
         thread::spawn(move || {
             let process = lock(&trial.processes[node]);
-            // One that was started meanwhile has read the new file.
-            if trial.starts[node].load(Ordering::Relaxed) == starts {
+            // A process that was restarted meanwhile has read the new file.
+            if trial.restarts[node].load(Ordering::Relaxed) == restarts {
                 let _ = process.signal(Signal::HUP);
             }
         });
@@ -301,30 +309,30 @@
         Ok(files)
     }
 
-    /// A node stands still for a while; whoever ends it waits until it goes on.
+    /// Suspends a node for a while. The lock on its process delays a termination or kill until the node is resumed.
     fn stall(&self, node: usize, length: Duration) {
         let Ok(process) = self.processes[node].try_lock() else { return };
         self.recorder.record(Event::Stalled { node, length });
-        // One that has just ended needs no signal.
+        // Signals to a process that has just exited fail, which is harmless.
         let _ = process.signal(Signal::STOP);
         thread::sleep(length);
         let _ = process.signal(Signal::CONT);
     }
 
-    /// SIGTERM, SIGKILL at the earliest moment where the node has not ended, and a new start.
+    /// Sends SIGTERM to a node, then SIGKILL if it has not exited at the earliest permitted time, and restarts it.
     fn terminate(&self, node: usize) {
         let mut process = lock(&self.processes[node]);
-        // One that has just been started may not have taken its signals yet; an end before that is no crash.
+        // A process that has just started may not handle SIGTERM yet, and its exit would wrongly count as a crash.
         if let Err(error) = NodeProcess::await_ready(self.traffic[node].listen) {
-            eprintln!("n{node} is not ready: {error}");
+            eprintln!("n{node} does not accept connections before SIGTERM: {error}");
         }
         self.recorder.record(Event::Terminated { node });
-        // A process that has ended is told apart below.
+        // The signal fails if the process has exited, which `wait_until` finds below.
         let _ = process.signal(Signal::TERM);
-        let began = Instant::now();
-        self.traffic[node].leave_after(NEW_CONNECTIONS_AFTER_TERM);
-        let longest = self.settings.deadline.min(LONGEST_COUNTED_DEADLINE);
-        match process.wait_until(began + longest + SHUTDOWN_GRACE) {
+        let terminated = Instant::now();
+        self.traffic[node].stop_connecting_after(NEW_CONNECTIONS_AFTER_TERM);
+        let deadline = self.settings.deadline.min(MAX_SHUTDOWN_DEADLINE);
+        match process.wait_until(terminated + deadline + SHUTDOWN_GRACE) {
             Ok(Some(status)) => self.recorder.record(Event::Exited { node, success: status.success() }),
             _ => self.kill_process(node, &mut process),
         }
@@ -340,7 +348,7 @@
     fn kill_process(&self, node: usize, process: &mut NodeProcess) {
         self.recorder.record(Event::Killed { node });
         if let Err(error) = process.kill() {
-            eprintln!("n{node} is not killed: {error}");
+            eprintln!("n{node} can't be killed: {error}");
         }
     }
 
@@ -350,11 +358,11 @@
             NodeProcess::start(&self.config.program, &files, &self.config.log_level)
                 .map_err(failed(format!("n{node}")))
         });
-        self.starts[node].fetch_add(1, Ordering::Relaxed);
+        self.restarts[node].fetch_add(1, Ordering::Relaxed);
         match started {
             Ok(next) => *process = next,
             Err(error) => eprintln!("{error}"),
         }
-        self.traffic[node].enter();
+        self.traffic[node].resume_connecting();
     }
 }
--- a/crates/ochrelead-verify/src/soak/trial/server_changes.rs
+++ b/crates/ochrelead-verify/src/soak/trial/server_changes.rs
@@ -1,4 +1,4 @@
-//! How the servers of a trial change: replaced, dead, or back at their addresses.
+//! Changes to the servers of a trial: replacement, crash and restart.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use crate::soak::parties::{listed_server, start_server};
 use crate::soak::server_list::{ListedServer, ServerList};
 
-/// The list follows the death of a server after this time.
-const CRASH_NOTICE_TIME: Duration = Duration::from_millis(900);
-/// A server that restarts is back after this time.
-const RESTART_TIME: Duration = Duration::from_millis(1_000);
+/// Delay until the list shows that a server crashed.
+const CRASH_LISTING_DELAY: Duration = Duration::from_millis(900);
+/// Delay between the stop and the start of a server that restarts.
+const RESTART_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Changes the list; a node may act on it at once, so the record comes first.
+/// Records changes and applies them to the list, in this order, as a node may act on a change at once.
 fn change_list(list: &Mutex<ServerList>, recorder: &Recorder, changed: &[ListedServer]) {
     let mut list = lock(list);
     for server in changed {
@@ -23,7 +23,8 @@
 }
 
 impl Trial {
-    /// A server drains and another takes its number, in one event; the former is removed later.
+    /// Lists a server as draining and a new one under its number in one event; the former is removed after
+    /// `drain_time`.
     pub(super) fn replace_server(&self, number: usize, drain_time: Duration) -> Result<(), TrialError> {
         let next = start_server(&self.config, &self.settings, self.next_number(), &self.recorder)?;
         let former = std::mem::replace(&mut lock(&self.servers)[number], next.clone());
@@ -38,13 +39,13 @@
         Ok(())
     }
 
-    /// A server's process dies; the list says so later, and names its successor.
+    /// Stops a server without notice; the list removes it later and adds its successor in the same event.
     pub(super) fn crash_server(&self, number: usize) -> Result<(), TrialError> {
         let next = start_server(&self.config, &self.settings, self.next_number(), &self.recorder)?;
         let former = std::mem::replace(&mut lock(&self.servers)[number], next.clone());
         former.stop();
         let (list, recorder) = (self.list.clone(), self.recorder.clone());
-        self.scheduler.after(CRASH_NOTICE_TIME, move || {
+        self.scheduler.after(CRASH_LISTING_DELAY, move || {
             let removed = listed_server(&former, number, Lifecycle::Removed, 0);
             let up = listed_server(&next, number, Lifecycle::Up, unix_millis());
             change_list(&list, &recorder, &[removed, up]);
@@ -52,14 +53,14 @@
         Ok(())
     }
 
-    /// A server is removed and comes back at its address, under its id or another.
+    /// Removes and stops a server, then restarts it at its address, under the same id or a new one.
     pub(super) fn restart_server(self: Arc<Self>, number: usize, renamed: bool) {
         let former = lock(&self.servers)[number].clone();
         let seed = self.next_number();
         let id = if renamed { format!("s-{seed:08x}") } else { former.id.clone() };
         self.list_changes(&[listed_server(&former, number, Lifecycle::Removed, 0)]);
         former.stop();
-        self.scheduler.clone().after(RESTART_TIME, move || {
+        self.scheduler.clone().after(RESTART_DELAY, move || {
             match former.start_again(id, self.settings.nodes, seed) {
                 Ok(next) => {
                     let started = unix_millis();
@@ -67,7 +68,7 @@
                     lock(&self.former_servers).push(former);
                     self.list_changes(&[listed_server(&next, number, Lifecycle::Up, started)]);
                 }
-                Err(error) => eprintln!("{} does not come back: {error}", former.id),
+                Err(error) => eprintln!("{} can't be restarted: {error}", former.id),
             }
         });
     }
