--- a/crates/ochrelead-verify/src/soak/history.rs
+++ b/crates/ochrelead-verify/src/soak/history.rs
@@ -1,25 +1,25 @@
-//! What was seen in a trial, in the order of time.
+//! The history of a trial: what the emulated peers saw on their sockets and what the trial did, in order of time.
 
 use std::fmt::{self, Display, Formatter};
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A call, by the number in its id.
+/// The number of a call, which its id holds in hexadecimal.
 pub type CallNumber = u64;
 
-/// What the coordinator lists a server as.
+/// The state in which the coordinator lists a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
     /// In service.
     Up,
-    /// Takes nothing new.
+    /// Takes no new calls.
     Draining,
-    /// Gone.
+    /// No longer in the list.
     Removed,
 }
 
 impl Lifecycle {
-    /// The word in the coordinator's events.
+    /// The value of `lifecycle` in the coordinator's events.
     pub fn as_str(self) -> &'static str {
         match self {
             Lifecycle::Up => "up",
@@ -32,13 +32,14 @@
 /// How discovery fails for a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryFault {
-    /// Connections stay open and bring nothing, those of this time not even later; what they asked is lost.
+    /// Connections stay open but carry nothing. Those opened before or during the fault stay mute after it, and their
+    /// requests are lost.
     Silent,
     /// The port is closed and connections are reset.
     Down,
-    /// Answers and events come late by this long.
+    /// Answers and events are delayed by this time.
     Slow(Duration),
-    /// Nothing is accepted, read or written; connections go on where they were afterwards.
+    /// The coordinator accepts, reads and writes nothing; open connections continue afterwards.
     Suspended,
 }
 
@@ -53,43 +54,43 @@
     ConnectionClosed,
 }
 
-/// What a caller was told of a call.
+/// The answer that a caller received for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The call stands.
+    /// The call is established.
     Up,
-    /// Refused, failed, or released after it stood.
+    /// The call was rejected or failed, or was released after it had been established.
     Down,
 }
 
-/// One thing that was seen.
+/// An event of a trial. Reports print these names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The coordinator has a change of a server.
+    /// The coordinator has a change to a server in its list.
     Listed {
         /// The server's id.
         server: String,
         /// Its new state.
         state: Lifecycle,
     },
-    /// Discovery fails for a node from now on.
+    /// A discovery fault begins for a node.
     DiscoveryFailed {
         /// The node's number.
         node: usize,
-        /// How.
+        /// The kind of fault.
         fault: DiscoveryFault,
     },
-    /// Discovery can be reached by the node again.
+    /// The discovery fault of a node ends.
     DiscoveryReturned {
         /// The node's number.
         node: usize,
     },
-    /// The coordinator moved for a node, which was signalled.
+    /// The coordinator of a node moved to another address, and the node gets SIGHUP.
     DiscoveryMoved {
         /// The node's number.
         node: usize,
     },
-    /// A node asked for the list, and its coordinator answers.
+    /// A node requested the list, and its coordinator answers.
     ListRequested {
         /// The node's number.
         node: usize,
@@ -99,64 +100,64 @@
         /// The node's number.
         node: usize,
     },
-    /// SIGTERM.
+    /// The trial sends SIGTERM to a node.
     Terminated {
         /// The node's number.
         node: usize,
     },
-    /// It is stopped for a while, as by a machine that is too busy.
+    /// The trial suspends a node with SIGSTOP for a while, as an overloaded machine would.
     Stalled {
         /// The node's number.
         node: usize,
-        /// For how long.
+        /// How long the node is suspended.
         length: Duration,
     },
-    /// SIGKILL.
+    /// The trial sends SIGKILL to a node.
     Killed {
         /// The node's number.
         node: usize,
     },
-    /// The process ended by itself.
+    /// A node's process exited without SIGKILL.
     Exited {
         /// The node's number.
         node: usize,
-        /// Whether with success.
+        /// Whether its exit status was success.
         success: bool,
     },
-    /// A set-up's last byte was written.
+    /// A caller is about to write the last part of a set-up.
     SetUpSent {
         /// The call.
         call: CallNumber,
         /// The node's number.
         node: usize,
-        /// How long its caller waits.
+        /// How long its caller waits for an answer.
         wait: Duration,
     },
-    /// Its caller waits no longer, or its connection ended in a way that owes no answer.
+    /// The caller cancelled the set-up, or its connection ended in a way after which no answer is owed.
     Withdrawn {
         /// The call.
         call: CallNumber,
     },
-    /// A caller was told something of a call.
+    /// A caller received an answer or a release for a call.
     Told {
         /// The call.
         call: CallNumber,
-        /// What.
+        /// The answer.
         answer: Answer,
-        /// Whether the answer is as a server gave it.
+        /// Whether the body of the answer is the one that the server sent.
         intact: bool,
     },
-    /// The node closed a connection on which the call was unanswered.
+    /// The node closed the connection while the call was unanswered.
     ClosedUnanswered {
         /// The call.
         call: CallNumber,
     },
-    /// A node neither answered nor closed a connection on which a caller had sent what it can't use, in time.
+    /// A node neither answered unusable input in time nor closed its connection.
     BadInputIgnored {
         /// The node's number.
         node: usize,
     },
-    /// An INVITE arrived whole.
+    /// A server received a whole INVITE.
     InviteArrived {
         /// The server's id.
         server: String,
@@ -164,20 +165,20 @@
         call: CallNumber,
         /// The sequence number.
         sequence: u32,
-        /// The earliest that its first byte can have been sent, where the server read it late.
+        /// The earliest time at which its first byte can have been sent, if the server read it late.
         buffered_since: Option<Duration>,
     },
-    /// A server released a call that stands, on a connection that was open.
+    /// A server released an established call on an open connection.
     Released {
         /// The call.
         call: CallNumber,
     },
-    /// A server's process ended, and its calls with it.
+    /// A server stopped, and its calls ended with it.
     ServerStopped {
         /// The server's id.
         server: String,
     },
-    /// An INVITE ended.
+    /// An INVITE ended at its server.
     InviteEnded {
         /// The server's id.
         server: String,
@@ -185,17 +186,17 @@
         call: CallNumber,
         /// The sequence number.
         sequence: u32,
-        /// How.
+        /// How it ended.
         end: InviteEnd,
     },
 }
 
-/// One entry.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// When, from the trial's start.
+    /// The time since the trial's start.
     pub at: Duration,
-    /// What.
+    /// The event.
     pub event: Event,
 }
 
@@ -205,16 +206,16 @@
     }
 }
 
-/// A time in which the machine ran the trial late.
+/// A period in which the machine was too busy to run the trial's threads on time.
 #[derive(Clone, Copy, Debug)]
 pub struct Stall {
-    /// When a thread that slept should have been woken.
+    /// When a sleeping thread was due to wake.
     pub from: Duration,
-    /// When it was.
+    /// When the thread woke.
     pub until: Duration,
 }
 
-/// The record of a running trial, shared by its threads.
+/// Records the history of a running trial; shared by its threads.
 pub struct Recorder {
     started: Instant,
     entries: Mutex<Vec<Entry>>,
@@ -233,24 +234,25 @@
         self.started.elapsed()
     }
 
-    /// The time at which an entry could be recorded: later than now where another thread is held up while it records.
+    /// Returns the time once the record can be written to. If another thread is delayed while it records, the wait
+    /// for that thread counts.
     pub fn now_recording(&self) -> Duration {
         let _entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         self.now()
     }
 
-    /// Records something that happens now.
+    /// Records an event with the present time.
     pub fn record(&self, event: Event) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         entries.push(Entry { at: self.now(), event });
     }
 
-    /// Records that the machine ran late.
+    /// Records a stall of the machine.
     pub fn record_stall(&self, stall: Stall) {
         self.stalls.lock().unwrap_or_else(PoisonError::into_inner).push(stall);
     }
 
-    /// Everything so far.
+    /// Returns a copy of everything recorded so far.
     pub fn history(&self) -> History {
         History {
             entries: self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone(),
@@ -259,23 +261,24 @@
     }
 }
 
-/// Everything that was seen in a trial.
+/// Everything that was recorded in a trial.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// In the order of time.
+    /// Entries in chronological order.
     pub entries: Vec<Entry>,
-    /// When the machine ran late.
+    /// Stalls of the machine.
     pub stalls: Vec<Stall>,
 }
 
 impl History {
-    /// For how long the machine stood still between two moments: what was seen then may have been seen late by as much.
+    /// How long the machine stalled between two moments. Events of that period may have been recorded late by this
+    /// time.
     pub fn stalled_between(&self, from: Duration, until: Duration) -> Duration {
         let overlap = |stall: &Stall| stall.until.min(until).saturating_sub(stall.from.max(from));
         self.stalls.iter().map(overlap).sum()
     }
 
-    /// For how long a node was made to stand still between two moments.
+    /// How long the trial suspended a node between two moments.
     pub fn node_stalled_between(&self, number: usize, from: Duration, until: Duration) -> Duration {
         let overlap = |entry: &Entry| match entry.event {
             Event::Stalled { node, length } if node == number => {
@@ -286,7 +289,7 @@
         self.entries.iter().map(overlap).sum()
     }
 
-    /// The entries that concern a call.
+    /// Entries that concern a call.
     pub fn of_call(&self, number: CallNumber) -> impl Iterator<Item = &Entry> {
         self.entries.iter().filter(move |entry| match entry.event {
             Event::SetUpSent { call, .. }
--- a/crates/ochrelead-verify/src/soak/node_process.rs
+++ b/crates/ochrelead-verify/src/soak/node_process.rs
@@ -1,4 +1,4 @@
-//! A node's process: started on a configuration, signalled, and awaited.
+//! A node's process: writes its configuration, starts it, signals it, and waits for its exit.
 
 use std::fs::{self, File};
 use std::io;
@@ -11,44 +11,45 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 
-/// How often the process is looked at while it is awaited.
+/// Interval at which a process that is waited for is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// A node that does not listen by then has failed to start.
+/// A node that does not listen within this time has failed to start.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// The limit on open files of a node's process, which its configuration states as its limit on sockets.
 const SOCKETS: u32 = 256;
 const MEMORY_MB: u32 = 48;
 
-/// What nodes are configured with.
+/// Settings that all nodes of a trial share and keep.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeSettings {
     /// The number of nodes.
     pub nodes: usize,
-    /// The longest that a caller waits.
+    /// The longest time for which a caller waits.
     pub deadline: Duration,
-    /// How long a draining server may be sent something new.
+    /// How long a draining server may still get new calls.
     pub drain_grace: Duration,
-    /// Servers close connections that are idle for so long.
+    /// Time after which servers close idle connections.
     pub idle_limit: Duration,
-    /// How long after a reset or cancel nothing is sent again.
+    /// Delay of a re-send after a reset or cancel.
     pub resend_delay: Duration,
 }
 
-/// What changes of a node's configuration while a trial runs.
+/// The part of a node's configuration that differs between nodes or changes during a trial.
 pub struct NodeConfiguration {
-    /// Its number.
+    /// The number of the node.
     pub node: usize,
     /// Where it listens.
     pub listen: SocketAddr,
-    /// Its coordinator.
+    /// The address of its coordinator.
     pub coordinator: SocketAddr,
-    /// The list at its start.
+    /// The server list at its start.
     pub known: Value,
-    /// For its chance.
+    /// The seed of its random generator.
     pub seed: u64,
 }
 
 impl NodeConfiguration {
-    /// The text of the configuration file.
+    /// Returns the text of the configuration file.
     pub fn to_text(&self, settings: &NodeSettings) -> String {
         let deadline_ms = settings.deadline.as_millis() as u64;
         let class = json!({"name": "voice", "deadlineMs": deadline_ms, "targetMs": deadline_ms / 4, "worth": 1,
@@ -76,7 +77,7 @@
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // One that has ended already can't be killed.
+        // Fails if the process has exited, which is harmless.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -92,7 +93,7 @@
 }
 
 impl NodeFiles {
-    /// The files in a folder.
+    /// Returns the paths of a node's files in a folder.
     pub fn in_folder(folder: &Path, node: usize) -> NodeFiles {
         NodeFiles {
             configuration: folder.join(format!("n{node}.json")),
@@ -100,11 +101,11 @@
         }
     }
 
-    /// Replaces the configuration in one step.
+    /// Replaces the configuration file atomically.
     ///
     /// # Errors
     ///
-    /// Where it can't be written.
+    /// Returns an error if the file can't be written.
     pub fn write_configuration(&self, text: &str) -> io::Result<()> {
         let next = self.configuration.with_extension("next");
         fs::write(&next, text)?;
@@ -113,11 +114,11 @@
 }
 
 impl NodeProcess {
-    /// Starts the program as `run` does.
+    /// Starts the program's `node` command with a limit on open files.
     ///
     /// # Errors
     ///
-    /// Where it can't be started, or its log not be opened.
+    /// Returns an error if the process can't be started or its log can't be opened.
     pub fn start(program: &Path, files: &NodeFiles, log_level: &str) -> io::Result<NodeProcess> {
         let log = File::options().create(true).append(true).open(&files.log)?;
         let run = format!("ulimit -n {SOCKETS} && exec \"$0\" node --log {log_level}");
@@ -136,7 +137,7 @@
     ///
     /// # Errors
     ///
-    /// Where it does not in time.
+    /// Returns the last connection error if the node does not listen in time.
     pub fn await_ready(listen: SocketAddr) -> io::Result<()> {
         let until = Instant::now() + START_TIMEOUT;
         while let Err(error) = TcpStream::connect(listen) {
@@ -148,29 +149,29 @@
         Ok(())
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// Where the process has ended.
+    /// Returns an error if the process has exited.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
     }
 
-    /// The status of a process that has ended.
+    /// Returns the exit status if the process has exited.
     ///
     /// # Errors
     ///
-    /// Where it can't be awaited.
+    /// Returns an error if the process can't be waited for.
     pub fn try_wait(&mut self) -> io::Result<Option<ExitStatus>> {
         self.child.try_wait()
     }
 
-    /// Waits for its end; `None` where it runs on at the given moment.
+    /// Waits for the exit of the process; returns `None` if it still runs at the given time.
     ///
     /// # Errors
     ///
-    /// Where it can't be awaited.
+    /// Returns an error if the process can't be waited for.
     pub fn wait_until(&mut self, until: Instant) -> io::Result<Option<ExitStatus>> {
         loop {
             let status = self.child.try_wait()?;
@@ -181,11 +182,11 @@
         }
     }
 
-    /// Kills it, and waits for its end.
+    /// Kills the process and waits for its exit.
     ///
     /// # Errors
     ///
-    /// Where it can't be killed or awaited.
+    /// Returns an error if the process can't be killed or waited for.
     pub fn kill(&mut self) -> io::Result<()> {
         self.child.kill()?;
         self.child.wait().map(drop)
--- a/crates/ochrelead-verify/src/soak/parties.rs
+++ b/crates/ochrelead-verify/src/soak/parties.rs
@@ -1,4 +1,4 @@
-//! The parties of a trial: their addresses, and how each is started.
+//! The nodes and servers of a trial: their addresses, and how they are started.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,53 +13,56 @@
 use super::server::{Server, ServerConfig};
 use super::server_list::ListedServer;
 
-/// How long the calls of a trial last.
+/// How long established calls last.
 const HOLD_TIME: Duration = Duration::from_millis(700);
 pub(super) const NODE_PORT: u16 = 5080;
 pub(super) const COORDINATOR_PORT: u16 = 8500;
-/// The third parts of addresses, from the subnet's on.
+/// Offsets of the third byte of an address, one for each kind of process.
 pub(super) const NODE_NET: u8 = 0;
 pub(super) const SERVER_NET: u8 = 1;
 pub(super) const COORDINATOR_NET: u8 = 2;
+/// The number of these offsets.
 const NETS: u8 = 3;
-/// Addresses of a net.
+/// The number of addresses with the same first three bytes.
 const HOSTS: u64 = 250;
-/// The second parts of addresses are from here on, one for each trial that runs at a time.
+/// The second byte of the addresses in slot 0; each trial that runs concurrently has another.
 const FIRST_SUBNET: u8 = 230;
-/// The trials that may run at a time.
+/// The number of trials that may run concurrently in one process.
 pub const MAX_PARALLEL: u8 = 20;
-/// Processes that run trials at the same time on one machine are told apart by their ids, modulo this.
+/// Processes that run trials concurrently on one machine use different addresses if their process ids differ modulo
+/// this.
 const PROCESS_SLOTS: u32 = 80;
 
 /// Why a trial could not be run.
 #[derive(Debug, Error)]
 pub enum TrialError {
-    /// A party could not be started or reached.
+    /// A node, server, coordinator or file could not be set up.
     #[error("{party}: {source}")]
     Party {
-        /// Which.
+        /// What could not be set up.
         party: String,
-        /// The system's error.
+        /// The error of the operating system.
         #[source]
         source: io::Error,
     },
 }
 
+/// Returns a function that adds the name of what failed to an I/O error.
 pub(super) fn failed(party: impl Into<String>) -> impl FnOnce(io::Error) -> TrialError {
     let party = party.into();
     move |source| TrialError::Party { party, source }
 }
 
-/// Where and with what a trial is run.
+/// The program and the machine's resources that a trial uses.
 #[derive(Clone, Debug)]
 pub struct TrialConfig {
-    /// The program.
+    /// The program whose nodes are tested.
     pub program: PathBuf,
-    /// For configurations and logs.
+    /// The folder for configurations and logs; it is emptied at the start.
     pub folder: PathBuf,
-    /// The second part of all its addresses, and the least of the three third parts that it takes.
+    /// The second byte of its addresses, and the lowest of the three third bytes that it uses.
     pub subnet: [u8; 2],
-    /// What the nodes log.
+    /// The log level of the nodes.
     pub log_level: String,
 }
 
@@ -109,7 +112,8 @@
 }
 
 impl TrialConfig {
-    /// For the trial of a seed, in a folder below `parent`; `slot` tells it from others that run at the same time.
+    /// Returns the configuration for the trial of a seed, with its folder below `parent`. Trials that run
+    /// concurrently need different slots.
     pub fn new(program: &Path, parent: &Path, seed: u64, slot: u8) -> TrialConfig {
         let process = (std::process::id() % PROCESS_SLOTS) as u8;
         TrialConfig {
--- a/crates/ochrelead-verify/src/soak/scenario.rs
+++ b/crates/ochrelead-verify/src/soak/scenario.rs
@@ -1,4 +1,4 @@
-//! A trial's parties and faults, drawn from a seed.
+//! The size, traffic and faults of a trial, drawn from a seed.
 
 use std::time::Duration;
 
@@ -10,119 +10,123 @@
 use super::incidents::Schedule;
 use super::server::Behaviour;
 
-/// The servers of a trial at its start.
+/// The number of servers at a trial's start.
 pub const SERVERS: usize = 3;
-/// The numbers of nodes that are drawn; most trials are small.
+/// Numbers of nodes to draw from; most trials are small.
 const NODES: [usize; 10] = [3, 4, 4, 4, 4, 4, 6, 8, 8, 16];
-/// Where there are more nodes than this, each gets fewer set-ups: the machine plays all parties.
+/// With more nodes than this, the rate of each is reduced, as one machine runs all nodes and emulated peers.
 const NODES_AT_FULL_RATE: f64 = 4.0;
+/// The lowest rate of a node, in set-ups per second.
 const MIN_RATE: f64 = 3.0;
 
-/// One fault.
+/// A fault or change during a trial. Reports print these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Discovery fails for one node, or for all.
+    /// A discovery fault for one node or for all.
     FailDiscovery {
-        /// Which node; all where it is `None`.
+        /// The node; `None` for all nodes.
         node: Option<usize>,
-        /// How.
+        /// The kind of fault.
         fault: DiscoveryFault,
-        /// For how long.
+        /// How long it lasts.
         length: Duration,
     },
-    /// What a node's coordinator writes has these faults from now on.
+    /// Sets the write faults of one node's coordinator or of all coordinators.
     SetWriteFaults {
-        /// Which node; all where it is `None`.
+        /// The node; `None` for all nodes.
         node: Option<usize>,
-        /// Which faults.
+        /// The faults.
         faults: WriteFaults,
     },
-    /// The coordinator of a node moves; the node is signalled.
+    /// Moves the coordinator of a node and sends the node SIGHUP.
     MoveCoordinator(usize),
-    /// A server drains; another takes its place at once, and it is removed after a while.
+    /// Drains a server, adds another in its place at once, and removes the former after a while.
     Replace {
-        /// Which of the servers.
+        /// The number of the server.
         server: usize,
-        /// Until it is removed.
+        /// Time from the drain to the removal.
         drain_time: Duration,
     },
-    /// A server behaves otherwise for a while.
+    /// Changes the behaviour of a server for a while.
     Behave {
-        /// Which of the servers.
+        /// The number of the server.
         server: usize,
-        /// How.
+        /// The behaviour.
         behaviour: Behaviour,
-        /// For how long.
+        /// How long it lasts.
         length: Duration,
     },
-    /// A server's process dies, and the list says so later.
+    /// Stops a server without notice; the list shows it later.
     Crash(usize),
-    /// A server is removed and comes back at its address.
+    /// Removes and stops a server, and restarts it at its address.
     Restart {
-        /// Which of the servers.
+        /// The number of the server.
         server: usize,
-        /// Whether under another id.
+        /// Whether it gets a new id.
         renamed: bool,
     },
-    /// A node stands still.
+    /// Suspends a node.
     Stall {
-        /// Which node.
+        /// The node.
         node: usize,
-        /// For how long.
+        /// How long it lasts.
         length: Duration,
     },
-    /// A server closes its idle connections.
+    /// Closes the idle connections of a server.
     CloseIdle(usize),
-    /// A node is told to leave, killed at the earliest moment where it has not ended, and started again.
+    /// Sends a node SIGTERM, kills it if it has not exited at the earliest permitted time, and restarts it.
     Terminate(usize),
-    /// A node is killed and started again.
+    /// Kills and restarts a node.
     Kill(usize),
-    /// Callers send a node what it can't read, half lines, and set-ups that they withdraw at once.
+    /// Callers send a node unusable input, and set-ups on connections that they close at once.
     BadCallers(usize),
 }
 
-/// A step and its moment.
+/// A step and its time.
 #[derive(Clone, Copy, Debug)]
 pub struct Scheduled {
-    /// From the trial's start.
+    /// The time since the trial's start.
     pub at: Duration,
-    /// What happens.
+    /// The step.
     pub step: Step,
 }
 
-/// A trial.
+/// A trial's size, traffic and faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The seed of all chance.
+    /// The seed of the trial's random generators.
     pub seed: u64,
     /// The number of nodes.
     pub nodes: usize,
-    /// The longest that callers wait.
+    /// The longest time for which callers wait.
     pub deadline: Duration,
-    /// Set-ups a second at each node.
+    /// Set-ups per second at each node.
     pub rate: f64,
-    /// Servers close connections that are idle for so long.
+    /// Time after which servers close idle connections.
     pub idle_limit: Duration,
-    /// Connections at each node that say nothing.
+    /// Connections at each node on which callers never send anything.
     pub crowd: usize,
-    /// The part of set-ups that are withdrawn early, of those written in pieces, and of connections closed early.
+    /// The share of set-ups that are cancelled early, of those with a very short wait, and of those written in
+    /// pieces. A fifth of this share of the set-ups that are not cancelled is followed by a close of their
+    /// connection.
     pub impatience: f64,
-    /// In the order of time.
+    /// The steps, in order of time.
     pub steps: Vec<Scheduled>,
     /// How long it lasts.
     pub length: Duration,
 }
 
-/// How long servers keep idle connections, over the trials.
+/// Idle time limits of the servers' connections to draw from.
 const IDLE_LIMITS_MS: [u64; 4] = [600_000, 600_000, 2_500, 1_200];
-/// Connections that say nothing, at each node of some small trials.
-const CROWD: usize = 60;
-const MAX_NODES_WITH_CROWD: usize = 16;
-/// How long callers wait, over the trials.
+/// Silent connections at each node of the trials that have them.
+const SILENT_CONNECTIONS: usize = 60;
+/// Trials with more nodes have no silent connections.
+const MAX_NODES_WITH_SILENT_CONNECTIONS: usize = 16;
+/// Deadlines of the callers to draw from.
 const DEADLINES_MS: [u64; 6] = [400, 800, 1_500, 2_400, 3_000, 9_000];
 
 impl Scenario {
-    /// The trial of a seed; with so many nodes where a number is given.
+    /// Draws the trial of a seed. A given number of nodes replaces the drawn one.
     pub fn draw(seed: u64, nodes: Option<usize>) -> Scenario {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let drawn = NODES[rng.random_range(0..NODES.len())];
@@ -136,7 +140,11 @@
             deadline: Duration::from_millis(deadline_ms),
             rate: (rate * (NODES_AT_FULL_RATE / nodes as f64).min(1.0)).max(MIN_RATE),
             idle_limit: Duration::from_millis(IDLE_LIMITS_MS[rng.random_range(0..IDLE_LIMITS_MS.len())]),
-            crowd: if rng.random_bool(0.3) && nodes <= MAX_NODES_WITH_CROWD { CROWD } else { 0 },
+            crowd: if rng.random_bool(0.3) && nodes <= MAX_NODES_WITH_SILENT_CONNECTIONS {
+                SILENT_CONNECTIONS
+            } else {
+                0
+            },
             impatience: rng.random_range(0.0..0.1),
             length: schedule.length(),
             steps: schedule.into_steps(),
--- a/crates/ochrelead-verify/src/soak/scheduler.rs
+++ b/crates/ochrelead-verify/src/soak/scheduler.rs
@@ -1,4 +1,4 @@
-//! Runs actions at stated moments, in one thread.
+//! Runs actions after delays, all in one thread.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -6,11 +6,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long the thread waits where nothing is scheduled.
+/// How long the thread waits for a new action if none is scheduled.
 const IDLE_WAIT: Duration = Duration::from_secs(1);
 
 type Action = Box<dyn FnOnce() + Send>;
 
+/// An action and the time at which it is due. The greatest in the order is the one due first.
 struct Scheduled {
     due: Instant,
     action: Action,
@@ -36,7 +37,7 @@
     }
 }
 
-/// A handle to the thread; it ends with the last one.
+/// A handle to the thread, which ends once all handles are dropped and all scheduled actions have run.
 #[derive(Clone)]
 pub struct Scheduler(Sender<Scheduled>);
 
@@ -51,7 +52,7 @@
     /// Runs an action after a delay.
     pub fn after(&self, delay: Duration, action: impl FnOnce() + Send + 'static) {
         let scheduled = Scheduled { due: Instant::now() + delay, action: Box::new(action) };
-        // The thread outlives every handle.
+        // The receiver exists as long as any handle, so sending fails only if an action panicked.
         let _ = self.0.send(scheduled);
     }
 }
