--- a/crates/ochrelead-verify/src/soak/parties.rs
+++ b/crates/ochrelead-verify/src/soak/parties.rs
@@ -37,20 +37,20 @@
 #[derive(Debug, Error)]
 pub enum TrialError {
     /// A node, server, coordinator or file could not be set up.
-    #[error("{party}: {source}")]
-    Party {
+    #[error("can't set up {component}: {source}")]
+    Component {
         /// What could not be set up.
-        party: String,
+        component: String,
         /// The error of the operating system.
         #[source]
         source: io::Error,
     },
 }
 
-/// Returns a function that adds the name of what failed to an I/O error.
-pub(super) fn failed(party: impl Into<String>) -> impl FnOnce(io::Error) -> TrialError {
-    let party = party.into();
-    move |source| TrialError::Party { party, source }
+/// Returns a function that turns an I/O error into a [`TrialError`] which names the component.
+pub(super) fn failed(component: impl Into<String>) -> impl FnOnce(io::Error) -> TrialError {
+    let component = component.into();
+    move |source| TrialError::Component { component, source }
 }
 
 /// The program and the machine's resources that a trial uses.
@@ -76,12 +76,12 @@
     configuration: &NodeConfiguration,
     settings: &NodeSettings,
 ) -> Result<NodeProcess, TrialError> {
-    let party = format!("n{}", configuration.node);
+    let name = format!("n{}", configuration.node);
     let text = configuration.to_text(settings);
-    files.write_configuration(&text).map_err(failed(party.clone()))?;
+    files.write_configuration(&text).map_err(failed(name.clone()))?;
     let process =
-        NodeProcess::start(&config.program, files, &config.log_level).map_err(failed(party.clone()))?;
-    NodeProcess::await_ready(configuration.listen).map_err(failed(party))?;
+        NodeProcess::start(&config.program, files, &config.log_level).map_err(failed(name.clone()))?;
+    NodeProcess::await_ready(configuration.listen).map_err(failed(name))?;
     Ok(process)
 }
 
