--- a/crates/ochrelead-front/tests/soak.rs
+++ b/crates/ochrelead-front/tests/soak.rs
@@ -9,10 +9,10 @@
 
 use ochrelead_verify::soak::coordinator::{NumberForm, WriteFaults};
 use ochrelead_verify::soak::history::DiscoveryFault;
-use ochrelead_verify::soak::parties::TrialConfig;
 use ochrelead_verify::soak::scenario::{Scenario, Scheduled, Step};
 use ochrelead_verify::soak::server::Behaviour;
 use ochrelead_verify::soak::trial;
+use ochrelead_verify::soak::trial_setup::TrialConfig;
 
 const SEEDS: u64 = 16;
 /// Trials at a time: more would be late for want of processors.
--- a/crates/ochrelead-verify/src/commands/soak.rs
+++ b/crates/ochrelead-verify/src/commands/soak.rs
@@ -7,9 +7,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-use ochrelead_verify::soak::parties::{TrialConfig, TrialError};
 use ochrelead_verify::soak::scenario::Scenario;
 use ochrelead_verify::soak::trial::{self, TrialReport};
+use ochrelead_verify::soak::trial_setup::{TrialConfig, TrialError};
 
 /// Options of the `soak` command.
 pub(crate) struct SoakOptions {
--- a/crates/ochrelead-verify/src/soak/trial.rs
+++ b/crates/ochrelead-verify/src/soak/trial.rs
@@ -18,15 +18,15 @@
 use super::coordinator::Coordinator;
 use super::history::{Event, History, Lifecycle, Recorder, Stall};
 use super::node_process::{NodeConfiguration, NodeFiles, NodeProcess, NodeSettings};
-use super::parties::{
-    COORDINATOR_NET, COORDINATOR_PORT, NODE_NET, NODE_PORT, TrialConfig, TrialError, address, failed,
-    listed_server, start_node, start_server,
-};
 use super::scenario::{SERVERS, Scenario, Step};
 use super::scheduler::Scheduler;
 use super::server::{Behaviour, Server};
 use super::server_list::ServerList;
 use super::traffic::{self, NodeTraffic};
+use super::trial_setup::{
+    COORDINATOR_NET, COORDINATOR_PORT, NODE_NET, NODE_PORT, TrialConfig, TrialError, address, failed,
+    listed_server, start_node, start_server,
+};
 
 /// How long nodes may still send new calls to a draining server.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
--- a/crates/ochrelead-verify/src/soak/trial/server_changes.rs
+++ b/crates/ochrelead-verify/src/soak/trial/server_changes.rs
@@ -5,8 +5,8 @@
 
 use super::{Trial, TrialError, lock, unix_millis};
 use crate::soak::history::{Event, Lifecycle, Recorder};
-use crate::soak::parties::{listed_server, start_server};
 use crate::soak::server_list::{ListedServer, ServerList};
+use crate::soak::trial_setup::{listed_server, start_server};
 
 /// Delay until the list shows that a server crashed.
 const CRASH_LISTING_DELAY: Duration = Duration::from_millis(900);
