--- a/crates/ochrelead-verify/src/soak/scenario.rs
+++ b/crates/ochrelead-verify/src/soak/scenario.rs
@@ -105,7 +105,7 @@
     /// Time after which servers close idle connections.
     pub idle_limit: Duration,
     /// Connections at each node on which callers never send anything.
-    pub crowd: usize,
+    pub silent_connections: usize,
     /// The share of set-ups that are cancelled early, of those with a very short wait, and of those written in
     /// pieces. A fifth of this share of the set-ups that are not cancelled is followed by a close of their
     /// connection.
@@ -140,7 +140,7 @@
             deadline: Duration::from_millis(deadline_ms),
             rate: (rate * (NODES_AT_FULL_RATE / nodes as f64).min(1.0)).max(MIN_RATE),
             idle_limit: Duration::from_millis(IDLE_LIMITS_MS[rng.random_range(0..IDLE_LIMITS_MS.len())]),
-            crowd: if rng.random_bool(0.3) && nodes <= MAX_NODES_WITH_SILENT_CONNECTIONS {
+            silent_connections: if rng.random_bool(0.3) && nodes <= MAX_NODES_WITH_SILENT_CONNECTIONS {
                 SILENT_CONNECTIONS
             } else {
                 0
--- a/crates/ochrelead-verify/src/soak/traffic.rs
+++ b/crates/ochrelead-verify/src/soak/traffic.rs
@@ -41,7 +41,7 @@
     pub listen: SocketAddr,
     deadline: Duration,
     rate: f64,
-    crowd: usize,
+    silent_connections: usize,
     impatience: f64,
     pub(super) seed: u64,
     calls: Arc<CallNumbers>,
@@ -58,7 +58,7 @@
             listen,
             deadline: scenario.deadline,
             rate: scenario.rate,
-            crowd: scenario.crowd,
+            silent_connections: scenario.silent_connections,
             impatience: scenario.impatience,
             seed: scenario.seed.wrapping_mul(1_000_003) + node as u64,
             calls,
@@ -106,7 +106,8 @@
     recorder: Arc<Recorder>,
     stop: Arc<AtomicBool>,
 ) -> Vec<JoinHandle<()>> {
-    let silent_connections = (0..traffic.crowd).filter_map(|_| open(&traffic, &recorder)).collect();
+    let silent_connections =
+        (0..traffic.silent_connections).filter_map(|_| open(&traffic, &recorder)).collect();
     let driver = thread::spawn(move || Driver::new(traffic, recorder, silent_connections).run(&stop));
     vec![driver]
 }
