--- a/crates/ochrelead-front/tests/soak.rs
+++ b/crates/ochrelead-front/tests/soak.rs
@@ -43,7 +43,7 @@
         length,
         rate: 30.0,
         silent_connections: 0,
-        impatience: 0.0,
+        irregular_share: 0.0,
         steps: steps.iter().map(scheduled).collect(),
         ..Scenario::draw(0, Some(4))
     }
--- a/crates/ochrelead-verify/src/soak/scenario.rs
+++ b/crates/ochrelead-verify/src/soak/scenario.rs
@@ -109,7 +109,7 @@
     /// The share of set-ups that are cancelled early, of those with a very short wait, and of those written in
     /// pieces. A fifth of this share of the set-ups that are not cancelled is followed by a close of their
     /// connection.
-    pub impatience: f64,
+    pub irregular_share: f64,
     /// The steps, in order of time.
     pub steps: Vec<Scheduled>,
     /// How long it lasts.
@@ -145,7 +145,7 @@
             } else {
                 0
             },
-            impatience: rng.random_range(0.0..0.1),
+            irregular_share: rng.random_range(0.0..0.1),
             length: schedule.length(),
             steps: schedule.into_steps(),
         }
--- a/crates/ochrelead-verify/src/soak/traffic.rs
+++ b/crates/ochrelead-verify/src/soak/traffic.rs
@@ -42,7 +42,7 @@
     deadline: Duration,
     rate: f64,
     silent_connections: usize,
-    impatience: f64,
+    irregular_share: f64,
     pub(super) seed: u64,
     calls: Arc<CallNumbers>,
     /// The number of refused set-ups that have not been repeated.
@@ -59,7 +59,7 @@
             deadline: scenario.deadline,
             rate: scenario.rate,
             silent_connections: scenario.silent_connections,
-            impatience: scenario.impatience,
+            irregular_share: scenario.irregular_share,
             seed: scenario.seed.wrapping_mul(1_000_003) + node as u64,
             calls,
             refusals: Arc::default(),
@@ -90,12 +90,12 @@
 
     /// Draws the next set-up.
     pub(super) fn draw_set_up(&self, rng: &mut impl Rng) -> SetUp {
-        let is_short = rng.random_bool(self.impatience);
+        let is_short = rng.random_bool(self.irregular_share);
         let usual_wait = self.deadline.mul_f64(rng.random_range(MIN_WAIT_SHARE..1.0));
         SetUp {
             call: self.calls.next(),
             wait: if is_short { Duration::from_millis(rng.random_range(SHORT_WAIT_MS)) } else { usual_wait },
-            in_pieces: rng.random_bool(self.impatience),
+            in_pieces: rng.random_bool(self.irregular_share),
         }
     }
 }
@@ -177,10 +177,10 @@
         if !connection.set_up(&set_up) {
             return;
         }
-        if self.rng.random_bool(self.traffic.impatience) {
+        if self.rng.random_bool(self.traffic.irregular_share) {
             let delay = set_up.wait.mul_f64(self.rng.random_range(0.0..0.3));
             self.scheduler.after(delay, move || connection.cancel(set_up.call));
-        } else if self.rng.random_bool(self.traffic.impatience / 5.0) {
+        } else if self.rng.random_bool(self.traffic.irregular_share / 5.0) {
             connection.close();
         }
     }
