--- a/crates/ochrelead-verify/src/soak/caller.rs
+++ b/crates/ochrelead-verify/src/soak/caller.rs
@@ -14,8 +14,8 @@
 use super::history::{Answer, CallNumber, Event, Recorder};
 use super::sip_text::{DESCRIPTION_END, description};
 
-/// A set-up sent at most this long before the node's close may have crossed the close on the wire and is owed no
-/// answer.
+/// A set-up sent at most this long before the node's close may have crossed the close on the wire. A caller would
+/// send such a set-up again, so its loss is not held against the node.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 /// Delay between the two pieces of a set-up.
 const PIECE_DELAY: Duration = Duration::from_millis(15);
