--- a/crates/ochrelead-front/tests/soak.rs
+++ b/crates/ochrelead-front/tests/soak.rs
@@ -9,10 +9,10 @@
 
 use ochrelead_verify::soak::coordinator::{NumberForm, WriteFaults};
 use ochrelead_verify::soak::history::DiscoveryFault;
-use ochrelead_verify::soak::parties::TrialConfig;
 use ochrelead_verify::soak::scenario::{Scenario, Scheduled, Step};
 use ochrelead_verify::soak::server::Behaviour;
 use ochrelead_verify::soak::trial;
+use ochrelead_verify::soak::trial_setup::TrialConfig;
 
 const SEEDS: u64 = 16;
 /// The number of concurrent trials. With more, processes miss deadlines for lack of processor time.
@@ -43,8 +43,8 @@
         deadline,
         length,
         rate: 30.0,
-        crowd: 0,
-        impatience: 0.0,
+        silent_connections: 0,
+        irregular_share: 0.0,
         steps: steps.iter().map(scheduled).collect(),
         ..Scenario::draw(0, Some(4))
     }
