--- a/crates/ochrelead-diagnosis/src/clocks.rs
+++ b/crates/ochrelead-diagnosis/src/clocks.rs
@@ -1,17 +1,18 @@
-//! One time for all fronts.
+//! Clock synchronization: converts event times of all fronts to a common clock.
 //!
-//! Fronts' clocks disagree. What all fronts see at nearly one time (a server's announcement of a restart, the adoption of
-//! an endpoint list) relates them: the gap between two fronts' times of it is the offset of their clocks, give or take
-//! the delay of the announcement. Which event of one front is which of another's is not known where records are missing,
-//! so each pair that could be the same is a vote, and the offset with the most votes wins.
+//! The clocks of the fronts disagree. Shared events, which all fronts record at nearly the same time (a server's
+//! announcement of a restart, the adoption of an endpoint list), relate them: the difference between two fronts'
+//! times of a shared event is the offset between their clocks, plus or minus the propagation delay of the event. If
+//! records are missing, it is not certain which event of one front corresponds to which event of another. Therefore
+//! each pair of events that may correspond is a vote for an offset, and the offset with the most votes is chosen.
 //!
-//! Within one incarnation a clock may run fast or slow, and may be set. An incarnation is split where its times step:
-//! back, which its own order shows, or far ahead with no event missing. Each segment is related on its own, or through
-//! the segment before it.
+//! Within one incarnation of a front, a clock may run fast or slow and may be stepped (set to another time). An
+//! incarnation is split into segments at each step: a step back shows in its event order, a step ahead is a large gap
+//! without a missing event. The offset of each segment comes from its own shared events or from the previous segment.
 //!
-//! - `segments`: the segments of each incarnation, gathered event by event.
-//! - `estimation`: the offsets of all segments.
-//! - `shared_events`: the events that relate clocks, on the common clock.
+//! - `segments`: splits the events of each incarnation into segments.
+//! - `estimation`: estimates the offsets of all segments.
+//! - `shared_events`: the times of shared events on the common clock.
 //! - `votes`: the offset and drift that most votes agree on.
 
 mod estimation;
@@ -28,31 +29,33 @@
 pub use segments::ClockEstimator;
 use segments::IncarnationSegments;
 
-/// The longest delay of one announcement from the first front to the last, in microseconds: two repeats of a datagram.
+/// The longest time between the first and the last front receiving an announcement, in microseconds: the sender
+/// retransmits a datagram twice.
 const MAX_DELAY_US: i64 = 1_600_000;
 
-/// The offset of the clock of one incarnation, or of a segment of it between two steps.
+/// The offset between the clock of one incarnation, or one segment of it, and the common clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockOffset {
-    /// To be added to the segment's first time, in microseconds.
+    /// The offset at the segment's first event, in microseconds. Common time = front's time + offset.
     pub offset_us: i64,
-    /// What is added more with each microsecond of its own: negative for a clock that runs fast.
+    /// The change of the offset per microsecond of the front's clock: negative for a clock that runs fast.
     pub drift: f64,
-    /// How far off this may be; none where nothing relates this clock to the others and it is taken as it is.
+    /// The bound on the error of the offset; `None` if no shared event relates this clock to others and its times are
+    /// used uncorrected.
     pub error_bound: Option<Span>,
 }
 
 impl ClockOffset {
-    /// The offset of a clock that is taken as it is.
+    /// The offset of a clock whose times are used uncorrected.
     const UNKNOWN: ClockOffset = ClockOffset { offset_us: 0, drift: 0.0, error_bound: None };
 
-    /// The offset so many microseconds after the segment's first time.
+    /// The offset `elapsed_us` microseconds after the segment's first event.
     fn after(&self, elapsed_us: i64) -> i64 {
         self.offset_us + (self.drift * elapsed_us as f64) as i64
     }
 }
 
-/// The offsets of all incarnations.
+/// The clock offsets of all incarnations.
 #[derive(Clone, Debug, Default)]
 pub struct Clocks {
     incarnations: BTreeMap<FrontIncarnation, IncarnationSegments>,
@@ -60,7 +63,7 @@
 }
 
 impl Clocks {
-    /// From records, those of one incarnation in its order.
+    /// Estimates the offsets from records. The records of each incarnation must come in the order of its log.
     pub fn from_records<'a>(records: impl Iterator<Item = &'a Record>) -> Clocks {
         let mut estimator = ClockEstimator::default();
         for record in records {
@@ -69,24 +72,25 @@
         estimator.estimate()
     }
 
-    /// The offset at an incarnation's start.
+    /// The offset at the first event of an incarnation.
     pub fn initial_offset(&self, incarnation: &FrontIncarnation) -> ClockOffset {
         let segments = self.incarnations.get(incarnation);
         segments.and_then(IncarnationSegments::initial_offset).unwrap_or(ClockOffset::UNKNOWN)
     }
 
-    /// How often an incarnation's clock was set.
+    /// The number of clock steps within an incarnation.
     pub fn step_count(&self, incarnation: &FrontIncarnation) -> usize {
         self.incarnations.get(incarnation).map_or(0, IncarnationSegments::step_count)
     }
 
-    /// An event's time on the common clock, in microseconds.
+    /// Converts an event's time to the common clock, in microseconds.
     pub fn common_time_us(&self, incarnation: &FrontIncarnation, event: &Event) -> u64 {
         let segments = self.incarnations.get(incarnation);
         segments.map_or(event.at_us, |segments| segments.common_time_us(event))
     }
 
-    /// Incarnations whose clock nothing relates to the others'.
+    /// For each group of incarnations that shares no event with any other group, its reference incarnation. Empty if
+    /// all are in one group.
     pub fn unrelated(&self) -> &[FrontIncarnation] {
         &self.unrelated
     }
--- a/crates/ochrelead-diagnosis/src/clocks/estimation.rs
+++ b/crates/ochrelead-diagnosis/src/clocks/estimation.rs
@@ -1,4 +1,4 @@
-//! The offsets of all segments, found one after the other from a reference.
+//! Estimates the clock offsets of all segments, starting from a reference segment.
 
 use std::cmp::Reverse;
 
@@ -10,10 +10,10 @@
 use super::votes::estimate_offset;
 use super::{ClockOffset, Clocks, MAX_DELAY_US};
 
-/// A front writes at least so often.
+/// The longest interval between two records of a running front.
 const RECORD_INTERVAL: Span = Span::from_secs(1);
 
-/// A segment of an incarnation.
+/// Identifies a segment of an incarnation.
 #[derive(Clone, Debug)]
 struct SegmentId {
     incarnation: FrontIncarnation,
@@ -21,14 +21,15 @@
 }
 
 impl ClockEstimator {
-    /// The offsets, as far as the events determine them. The reference is the segment with the most shared events; an
-    /// incarnation that shares none with it is related through others where that is possible.
+    /// Estimates all offsets. The reference, whose clock is used uncorrected, is the segment with the most shared
+    /// events. A segment that shares no event with the reference is related through other segments if possible;
+    /// otherwise it becomes the reference of another group.
     pub fn estimate(mut self) -> Clocks {
         let mut open = self.segments_by_shared_events();
         let mut unrelated = Vec::new();
         while !open.is_empty() {
-            // Those that are related to nothing yet: a new group with a reference of its own. The first segment of an
-            // incarnation whose later segments alone are left carries them.
+            // No open segment is related to an earlier group: start a new group. Prefer the first segment of an
+            // incarnation as the reference, since the offsets of its later segments derive from it.
             let root = open.iter().position(|segment| segment.index == 0).unwrap_or(0);
             let reference = open.remove(root);
             let mut common = SharedEventTimes::default();
@@ -36,14 +37,14 @@
             self.relate_all(&mut open, &mut common);
             unrelated.push(reference.incarnation);
         }
-        // The one reference of all is not unrelated.
+        // With a single group, all incarnations are related.
         if unrelated.len() == 1 {
             unrelated.clear();
         }
         Clocks { incarnations: self.incarnations, unrelated }
     }
 
-    /// All segments, those with the most shared events first.
+    /// All segments, by descending number of shared events.
     fn segments_by_shared_events(&self) -> Vec<SegmentId> {
         let mut segments: Vec<(Reverse<usize>, SegmentId)> = Vec::new();
         for (incarnation, known) in &self.incarnations {
@@ -51,7 +52,7 @@
                 (Reverse(segment.shared_events.len()), SegmentId { incarnation: incarnation.clone(), index })
             }));
         }
-        // Stable: of equals the order of incarnations and their segments stays.
+        // A stable sort: ties keep the order of incarnations and of their segments.
         segments.sort_by_key(|(count, _)| *count);
         segments.into_iter().map(|(_, segment)| segment).collect()
     }
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Relates whatever shares an event with what is related, until nothing more does.
+    /// Sets the offset of each open segment that shares an event with a related one. Repeats until a pass relates
+    /// none.
     fn relate_all(&mut self, open: &mut Vec<SegmentId>, common: &mut SharedEventTimes) {
         loop {
             let open_before = open.len();
@@ -88,7 +90,8 @@
         }
     }
 
-    /// The offset of a segment's clock: as its events show, or as that of the segment before it does.
+    /// Estimates the offset of a segment from its shared events (by vote), or carries it over from the previous
+    /// segment.
     fn offset_of(&self, id: &SegmentId, common: &SharedEventTimes) -> Option<ClockOffset> {
         let segment = self.segment(id)?;
         let voted = estimate_offset(segment, common);
@@ -100,7 +103,8 @@
         let drift = offset.drift;
         let error_bound = offset.error_bound.map(|bound| bound + RECORD_INTERVAL);
         if segment.step_us < 0 {
-            // A front writes each second: less time than that has passed.
+            // The clock was set back. A front writes a record each second, so less than a second passed during the
+            // step.
             let carried = ClockOffset {
                 offset_us: offset_us - segment.step_us,
                 drift,
@@ -108,7 +112,7 @@
             };
             return Some(voted.filter(|voted| voted.error_bound < carried.error_bound).unwrap_or(carried));
         }
-        // Ahead: unless its events show otherwise, time did pass.
+        // The times jump ahead. Unless the shared events show a step, assume that this time really passed.
         let carried = ClockOffset { offset_us, drift, error_bound };
         let differs = |voted: &ClockOffset| voted.offset_us.abs_diff(offset_us) > MAX_DELAY_US as u64;
         Some(voted.filter(differs).unwrap_or(carried))
--- a/crates/ochrelead-diagnosis/src/clocks/segments.rs
+++ b/crates/ochrelead-diagnosis/src/clocks/segments.rs
@@ -1,4 +1,4 @@
-//! The segments of each incarnation in which its clock was not set, gathered event by event.
+//! Splits the events of each incarnation into segments within which its clock was not stepped.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,19 @@
 
 use super::ClockOffset;
 
-/// A time that is so much before the last of its incarnation is a clock set back.
+/// An event time this far before the previous one of the incarnation means that the clock was set back.
 const MIN_STEP_BACK_US: u64 = 250_000;
-/// A front writes each second: so much later than the last event, with none missing, and it was suspended or its clock
-/// was set ahead.
+/// An event time this far after the previous one, with no event missing in between, means that the clock was set
+/// ahead or the front was suspended: a running front writes a record each second.
 const MIN_STEP_AHEAD_US: u64 = 3_000_000;
-/// The shared events of a segment that are kept before those on lines are thinned out, and how far that goes.
+/// Above this number of shared events in a segment, line reports are sampled.
 const MAX_SHARED_EVENTS: usize = 4_096;
+/// The sampling keeps at least one in this many line counts.
 const MAX_LINE_DIVISOR: u64 = 1 << 20;
-/// After so many more events on lines it is worth estimating the offsets again.
-const LINE_EVENTS_PER_ESTIMATE: usize = 32;
+/// The number of further line reports after which a new estimate of the offsets is worthwhile.
+const LINE_REPORTS_PER_ESTIMATE: usize = 32;
 
-/// An event that other fronts may have seen too.
+/// An event that other fronts may have recorded as well.
 #[derive(Clone, Debug)]
 pub(super) struct SharedEvent {
     pub(super) name: String,
@@ -37,27 +38,28 @@
         Some(SharedEvent { name, time_us: event.at_us as i64 })
     }
 
-    /// The number of free lines that it reports.
+    /// The number of free lines, if this is a server's line report.
     fn free_lines(&self) -> Option<u64> {
         let (_, figures) = self.name.split_once(LINES)?;
         figures.split('/').next()?.parse().ok()
     }
 
-    /// Whether it is kept where only line counts that are multiples of this are.
+    /// Whether the event is kept when line reports are sampled to multiples of `line_divisor` free lines.
     fn is_kept(&self, line_divisor: u64) -> bool {
         self.free_lines().is_none_or(|free| free % line_divisor == 0)
     }
 }
 
-/// A part of an incarnation in which its clock was not set.
+/// A part of an incarnation within which its clock was not stepped.
 #[derive(Clone, Debug)]
 pub(super) struct Segment {
     first_sequence: u64,
     first_time_us: u64,
-    /// From the last event before it to its first, on the front's own clock, in microseconds.
+    /// The time from the last event of the previous segment to the first of this one, on the front's clock, in
+    /// microseconds.
     pub(super) step_us: i64,
     pub(super) shared_events: Vec<SharedEvent>,
-    /// Of events on lines only those are kept whose free lines are a multiple of this.
+    /// Line reports are kept only if their number of free lines is a multiple of this.
     line_divisor: u64,
     pub(super) offset: Option<ClockOffset>,
 }
@@ -78,7 +80,7 @@
         self.first_time_us as i64
     }
 
-    /// Adds an event. They are thinned out by their contents, so that each incarnation keeps the same ones.
+    /// Adds an event. Line reports are sampled by their content, so that all incarnations keep the same ones.
     fn add(&mut self, event: SharedEvent) {
         if event.is_kept(self.line_divisor) {
             self.shared_events.push(event);
@@ -108,18 +110,18 @@
         }
     }
 
-    /// Begins a segment where the clock was set before this event; whether it was.
+    /// Starts a new segment if the clock was stepped before this event. Returns whether it was.
     fn split_at_step(&mut self, event: &Event) -> bool {
         let was_suspended = matches!(event.what, Some(What::PausedUs(_)));
         let is_next = event.nth == self.last_sequence + 1;
         let is_ahead = event.at_us > self.last_time_us + MIN_STEP_AHEAD_US && is_next && !was_suspended;
-        let was_set = event.at_us + MIN_STEP_BACK_US < self.last_time_us || is_ahead;
-        if was_set {
+        let was_stepped = event.at_us + MIN_STEP_BACK_US < self.last_time_us || is_ahead;
+        if was_stepped {
             let step_us = event.at_us as i64 - self.last_time_us as i64;
             self.segments.push(Segment::starting_with(event, step_us));
         }
         (self.last_sequence, self.last_time_us) = (event.nth, event.at_us);
-        was_set
+        was_stepped
     }
 
     pub(super) fn initial_offset(&self) -> Option<ClockOffset> {
@@ -131,32 +133,32 @@
     }
 
     pub(super) fn common_time_us(&self, event: &Event) -> u64 {
-        let behind = self.segments.partition_point(|segment| segment.first_sequence <= event.nth);
-        let Some(segment) = self.segments.get(behind.saturating_sub(1)) else { return event.at_us };
+        let started = self.segments.partition_point(|segment| segment.first_sequence <= event.nth);
+        let Some(segment) = self.segments.get(started.saturating_sub(1)) else { return event.at_us };
         let elapsed_us = event.at_us as i64 - segment.first_time_us();
         event.at_us.saturating_add_signed(segment.offset.unwrap_or(ClockOffset::UNKNOWN).after(elapsed_us))
     }
 }
 
-/// What relates clocks to each other, gathered event by event, each incarnation's in its order. Grows with what servers
-/// report of themselves, not with the sessions.
+/// Collects the shared events that relate clocks to each other. Expects the events of each incarnation in the order
+/// of its log. Its memory grows with the number of server announcements, not with the number of sessions.
 #[derive(Clone, Debug, Default)]
 pub struct ClockEstimator {
     pub(super) incarnations: BTreeMap<FrontIncarnation, IncarnationSegments>,
 }
 
 impl ClockEstimator {
-    /// Adds an event; whether the offsets may be known better with it.
+    /// Adds an event. Returns whether a new estimate may be more accurate.
     pub fn handle_event(&mut self, incarnation: &FrontIncarnation, event: &Event) -> bool {
         if !self.incarnations.contains_key(incarnation) {
             self.incarnations.insert(incarnation.clone(), IncarnationSegments::starting_with(event));
         }
         let Some(segments) = self.incarnations.get_mut(incarnation) else { return false };
-        let was_set = segments.split_at_step(event);
-        let Some(shared) = SharedEvent::of(event) else { return was_set };
+        let was_stepped = segments.split_at_step(event);
+        let Some(shared) = SharedEvent::of(event) else { return was_stepped };
         let Some(segment) = segments.segments.last_mut() else { return true };
-        let is_on_lines = shared.free_lines().is_some();
+        let is_line_report = shared.free_lines().is_some();
         segment.add(shared);
-        !is_on_lines || segment.shared_events.len() % LINE_EVENTS_PER_ESTIMATE == 0
+        !is_line_report || segment.shared_events.len() % LINE_REPORTS_PER_ESTIMATE == 0
     }
 }
--- a/crates/ochrelead-diagnosis/src/diagnosis.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis.rs
@@ -1,14 +1,14 @@
-//! From events to troubles.
+//! Detects incidents from a stream of events.
 //!
-//! A front sees few sessions, so evidence is pooled over all fronts. Each kind of trouble needs a least number of cases
-//! and is not reported below it. A trouble that comes back within a moment is the same one.
+//! A single front sees few sessions, so the evidence of all fronts is pooled. Each kind of incident requires a
+//! minimum number of cases and is not reported below it. An incident that recurs shortly after its end is reopened.
 
 mod answer_times;
 mod callers;
 mod events;
+mod incident_log;
 mod presence;
 mod server_survey;
-mod trouble_log;
 
 use std::collections::BTreeMap;
 
@@ -18,52 +18,54 @@
 
 use crate::statistics::{FrontActivity, LearnedMean, RecentEvents, ServerStats};
 use crate::trouble::Trouble;
-use trouble_log::TroubleLog;
+use incident_log::IncidentLog;
 
-/// How often the state is evaluated.
+/// The interval between evaluations of the state.
 const EVALUATION_INTERVAL: Span = Span::from_millis(250);
-/// The recent time that is evaluated.
+/// The sliding window that an evaluation considers.
 const WINDOW: Span = Span::from_secs(2);
-/// An open trouble without evidence in so many evaluations has ended.
+/// An open incident ends after this number of evaluations without new evidence.
 const EVALUATIONS_WITHOUT_EVIDENCE: u64 = 3;
-/// An INVITE whose end is not in the log is forgotten after this: longer than any caller waits.
+/// An INVITE without an outcome in the log is dropped after this time, which is longer than any caller waits.
 const MAX_OUTSTANDING: Span = Span::from_secs(60);
-/// For so long after a server's silence or start, late answers and rejections are taken for its consequence.
+/// For this time after a server was silent or started, late answers and rejections are attributed to that.
 const AFTERMATH: Span = Span::from_secs(12);
 
-/// A call attempt or call that is not over.
+/// A call attempt or an established call that has not ended.
 struct OpenCall {
     front: String,
     called: String,
 }
 
-/// The state of the diagnosis.
+/// Detects incidents. Feed it events with [`Diagnosis::handle_event`] and read [`Diagnosis::troubles`] at any time.
 pub struct Diagnosis {
-    /// When the state is evaluated next; none before the first event.
+    /// The time of the next evaluation; `None` before the first event.
     next_evaluation: Option<Moment>,
     servers: BTreeMap<String, ServerStats>,
     fronts: BTreeMap<String, FrontActivity>,
-    /// The called numbers of the attempts that wait for their answer.
+    /// Attempts that are not answered yet, with their called numbers.
     pending_attempts: BTreeMap<String, String>,
-    /// When the last attempt at a called number ended.
+    /// The end of the last attempt at each called number.
     last_attempt_ended: BTreeMap<String, Moment>,
-    /// The tenants of redials that came at once.
+    /// The tenants of recent immediate redials.
     immediate_redials: RecentEvents<u32>,
-    /// Called numbers whose lines were busy.
+    /// Called numbers that were recently busy.
     busy_numbers: RecentEvents<String>,
-    /// The open calls, by attempt, and their count by called number.
+    /// Open calls by attempt.
     open_calls: BTreeMap<String, OpenCall>,
+    /// The number of open calls to each called number.
     open_calls_by_number: BTreeMap<String, usize>,
     attempts: RecentEvents<()>,
-    /// Attempts rejected for lack of capacity.
+    /// Recent attempts that were rejected for lack of capacity or retry budget.
     rejections: RecentEvents<()>,
-    /// Attempts that are no redials, and their usual rate a second.
+    /// Recent attempts that are not redials.
     new_demand: RecentEvents<()>,
+    /// The usual rate of attempts that are not redials, per second.
     usual_demand: LearnedMean,
     first_demand_at: Option<Moment>,
-    /// When more than usual was last offered.
+    /// When demand last exceeded the usual rate.
     last_surge_at: Option<Moment>,
-    troubles: TroubleLog,
+    incidents: IncidentLog,
 }
 
 impl Default for Diagnosis {
@@ -84,13 +86,13 @@
             usual_demand: LearnedMean::default(),
             first_demand_at: None,
             last_surge_at: None,
-            troubles: TroubleLog::default(),
+            incidents: IncidentLog::default(),
         }
     }
 }
 
 impl Diagnosis {
-    /// An event with its time on the common clock; events come in the order of that clock.
+    /// Processes an event. `time` is on the common clock and must not decrease between calls.
     pub fn handle_event(&mut self, time: Moment, incarnation: &FrontIncarnation, event: &Event) {
         self.advance_to(time);
         self.on_record(time, incarnation);
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Time passes without events up to `now`.
+    /// Runs the evaluations that are due up to `now`.
     pub fn advance_to(&mut self, now: Moment) {
         let mut evaluation = self.next_evaluation.unwrap_or(now + EVALUATION_INTERVAL);
         while evaluation <= now {
@@ -109,9 +111,9 @@
         self.next_evaluation = Some(evaluation);
     }
 
-    /// All troubles so far, in the order of their onsets; those that last have no end.
+    /// All incidents so far, in the order of their onsets. An ongoing incident has no end.
     pub fn troubles(&self) -> Vec<Trouble> {
-        self.troubles.all()
+        self.incidents.sorted_by_onset()
     }
 
     fn server(&mut self, name: &str) -> &mut ServerStats {
@@ -124,7 +126,7 @@
         self.evaluate_silence(now);
         self.evaluate_answer_times(now);
         self.evaluate_callers(now);
-        self.troubles.close_expired(now, EVALUATION_INTERVAL * EVALUATIONS_WITHOUT_EVIDENCE);
+        self.incidents.close_expired(now, EVALUATION_INTERVAL * EVALUATIONS_WITHOUT_EVIDENCE);
     }
 
     fn expire_events(&mut self, now: Moment) {
@@ -139,7 +141,7 @@
     }
 }
 
-/// The middle of the window before `now`: where a trouble that the window shows is taken to have begun.
+/// The middle of the window before `now`: the estimated onset of an incident that the window shows.
 fn window_middle(now: Moment) -> Moment {
     Moment::from_micros(now.micros().saturating_sub(WINDOW.micros() / 2))
 }
--- a/crates/ochrelead-diagnosis/src/diagnosis/answer_times.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis/answer_times.rs
@@ -1,63 +1,67 @@
-//! Answer times, rejections and demand: one server slow, all slow, overload, or answers lost.
+//! Evaluates answer times, rejections and demand: detects a slow server, a slow fleet, overload and lost answers.
 
 use ochrelead_core::time::{Moment, Span};
 
+use super::incident_log::Finding;
 use super::server_survey::{LateServer, SURGE_MULTIPLE, ServerSurvey, is_recent, rate_over};
-use super::trouble_log::Finding;
 use super::{AFTERMATH, Diagnosis, WINDOW, window_middle};
 use crate::statistics::ServerStats;
 use crate::trouble::TroubleKind;
 
-/// The share of attempts rejected for lack of capacity that is overload.
+/// The fleet is overloaded from this share of attempts that are rejected for lack of capacity.
 const MIN_REJECTED_SHARE: f64 = 0.12;
-/// Less than this share of the usual demand is offered when callers leave.
+/// Demand below this share of the usual rate is low: a server that then gets few INVITEs is not avoided.
 const MIN_USUAL_DEMAND: f64 = 0.6;
-/// A silence or start has an aftermath where one server in so many is concerned.
+/// The starts or silence of servers explain late answers elsewhere if they affect at least one server in this many.
 const AFTERMATH_SERVERS: usize = 5;
-/// Of several late servers, the one that carries less than the first share of its usual load is what is slow, where
-/// the others carry at least the second.
+/// Of several late servers, the only one below this share of its usual load is the slow one ...
 const REDUCED_SHARE: f64 = 0.8;
+/// ... if all others are at or above this share of theirs.
 const UNREDUCED_SHARE: f64 = 0.9;
-/// A late server that carries less than this can't be explained by anything else.
+/// A late server below this share of its usual load is slow: no other cause explains it.
 const SMALL_SHARE: f64 = 0.5;
-/// So many answers to repeats give full confidence that answers are lost.
-const CONFIDENT_REPEATS: f64 = 8.0;
+/// The number of answers to retransmissions that gives full confidence in lost answers.
+const CONFIDENT_RETRANSMISSIONS: f64 = 8.0;
+/// The confidence that all servers are slow.
 const ALL_SLOW_CONFIDENCE: f64 = 0.8;
+/// The confidence in an overload that shows as a surge with late answers.
 const SURGE_CONFIDENCE: f64 = 0.6;
-/// How many of the troubles that ended last are looked at, of fronts and callers, and of one server.
+/// The number of most recently ended incidents that are searched for causes at fronts or callers.
 const LAST_ENDED: usize = 20;
+/// The number of most recently ended incidents that are searched for lost answers of a server.
 const LAST_ENDED_OF_SERVER: usize = 5;
 
-/// What is offered to the fleet.
+/// The demand on the fleet: attempts that are not redials.
 struct Demand {
-    /// For how long demand has been seen, within the window.
+    /// The time for which demand has been observed, at most the window.
     observed: Span,
-    /// New attempts a second.
+    /// New attempts per second.
     rate: f64,
-    /// It is not much less than usual: where hardly anybody calls, every server is sent little.
+    /// Whether the rate is not far below usual. At low demand, all servers get few INVITEs.
     is_usual: bool,
-    /// It is more than usual.
+    /// Whether the rate is far above usual.
     is_surge: bool,
 }
 
-/// All that an evaluation of answer times takes into account.
+/// The inputs of an evaluation of answer times.
 struct Evaluation {
     now: Moment,
+    /// The estimated onset of an incident that the window shows.
     onset: Moment,
     demand: Demand,
     survey: ServerSurvey,
-    /// A silence or start of servers explains late answers and rejections.
+    /// Whether the recent silence or start of servers explains late answers and rejections.
     is_aftermath: bool,
-    /// No front is, or was a moment ago, cut off, suspended or gone.
-    is_fleet_whole: bool,
-    /// Callers make more of the demand than it is.
-    do_callers_press: bool,
-    /// Nothing else explains late answers.
+    /// Whether no front is, or recently was, cut off, suspended or ended.
+    are_fronts_healthy: bool,
+    /// Whether redials or a flooded number inflate the demand.
+    is_demand_inflated: bool,
+    /// Whether no other cause explains late answers.
     is_unexplained: bool,
 }
 
 impl Diagnosis {
-    /// What is late while no more is offered than usual is slow; what is late while more is offered is overloaded.
+    /// Reports late answers as slow servers if demand is as usual, and as overload if demand is higher.
     pub(super) fn evaluate_answer_times(&mut self, now: Moment) {
         let demand = self.demand(now);
         let mut survey = ServerSurvey::default();
@@ -71,23 +75,23 @@
         if demand.is_surge {
             self.last_surge_at = Some(now);
         }
-        // What waits from a surge is late for a while after it.
-        let is_calm = self.last_surge_at.is_none_or(|surge_at| now.since(surge_at) > WINDOW * 2);
-        let is_fleet_whole = self.is_fleet_whole(now);
-        let do_callers_press = self.do_callers_press(now);
+        // Calls queued during a surge are still answered late for some time after it.
+        let is_surge_over = self.last_surge_at.is_none_or(|surge_at| now.since(surge_at) > WINDOW * 2);
+        let are_fronts_healthy = self.are_fronts_healthy(now);
+        let is_demand_inflated = self.is_demand_inflated(now);
         let evaluation = Evaluation {
             now,
             onset: window_middle(now),
             demand,
             survey,
             is_aftermath,
-            is_fleet_whole,
-            do_callers_press,
-            is_unexplained: is_calm && is_fleet_whole && !is_aftermath && !do_callers_press,
+            are_fronts_healthy,
+            is_demand_inflated,
+            is_unexplained: is_surge_over && are_fronts_healthy && !is_aftermath && !is_demand_inflated,
         };
         self.report_late_answers(&evaluation);
         let Demand { observed, rate, is_surge, .. } = evaluation.demand;
-        if !is_surge && observed >= WINDOW / 2 && is_fleet_whole {
+        if !is_surge && observed >= WINDOW / 2 && are_fronts_healthy {
             self.usual_demand.learn(rate);
         }
     }
@@ -110,23 +114,23 @@
                 kind: TroubleKind::AnswersLost,
                 subject: &server.name,
                 onset: window_middle(now),
-                confidence: (server.repeated as f64 / CONFIDENT_REPEATS).min(1.0),
+                confidence: (server.to_retransmission as f64 / CONFIDENT_RETRANSMISSIONS).min(1.0),
                 evidence: format!(
                     "{} of {} answers came to a repeat, the others at once",
-                    server.repeated, server.answers
+                    server.to_retransmission, server.answers
                 ),
             };
-            self.troubles.observe(now, finding);
+            self.incidents.observe(now, finding);
         }
     }
 
-    /// Reports the one cause that explains late answers and rejections best.
+    /// Reports the most likely cause of late answers and rejections, if there is one.
     fn report_late_answers(&mut self, evaluation: &Evaluation) {
         let survey = &evaluation.survey;
         let is_slow_known =
-            self.troubles.any_open(|kind| matches!(kind, TroubleKind::Slow | TroubleKind::AllSlow));
+            self.incidents.any_open(|kind| matches!(kind, TroubleKind::Slow | TroubleKind::AllSlow));
         let slow_server = self.slow_server_of_several(evaluation);
-        self.keep_avoided_servers_open(evaluation);
+        self.keep_avoided_servers_reported(evaluation);
         let rejected_share = self.rejections.len() as f64 / self.attempts.len().max(1) as f64;
         if let Some(server) = slow_server {
             self.report_slow_server(evaluation, server);
@@ -135,8 +139,8 @@
         } else if rejected_share >= MIN_REJECTED_SHARE
             && !evaluation.is_aftermath
             && (evaluation.demand.is_surge || !is_slow_known)
-            && evaluation.is_fleet_whole
-            && !evaluation.do_callers_press
+            && evaluation.are_fronts_healthy
+            && !evaluation.is_demand_inflated
         {
             let percent = rejected_share * 100.0;
             let evidence =
@@ -150,32 +154,36 @@
         } else if let [server] = &survey.late[..]
             && survey.healthy > 0
             && self.may_be_slow(evaluation, server)
-            && !self.troubles.has(TroubleKind::AnswersLost, &server.name, LAST_ENDED_OF_SERVER)
+            && !self.incidents.is_open_or_last_closed(
+                TroubleKind::AnswersLost,
+                &server.name,
+                LAST_ENDED_OF_SERVER,
+            )
         {
             self.report_slow_server(evaluation, server);
         }
     }
 
-    /// Whether nothing else explains that a server is late, or it was found slow already and is still late.
+    /// Whether a late server is slow: no other cause explains it, or it is already reported as slow.
     fn may_be_slow(&self, evaluation: &Evaluation, server: &LateServer) -> bool {
-        evaluation.is_unexplained || self.troubles.is_open(TroubleKind::Slow, &server.name)
+        evaluation.is_unexplained || self.incidents.is_open(TroubleKind::Slow, &server.name)
     }
 
-    /// The one of several late servers that is slow: it carries less, and the others are late because they carry on.
+    /// The slow one of several late servers: its load is reduced, while the others keep their load.
     fn slow_server_of_several<'a>(&self, evaluation: &'a Evaluation) -> Option<&'a LateServer> {
         let ServerSurvey { late, evaluated, .. } = &evaluation.survey;
         least_loaded(late).filter(|server| {
             *evaluated > 1
                 && evaluation.demand.is_usual
-                && (server.carried_share < SMALL_SHARE || self.may_be_slow(evaluation, server))
+                && (server.load_share < SMALL_SHARE || self.may_be_slow(evaluation, server))
         })
     }
 
-    /// Hardly anything is sent to a server that was slow a moment ago: nothing shows that it is healthy again.
-    fn keep_avoided_servers_open(&mut self, evaluation: &Evaluation) {
+    /// Keeps the incident of a slow server open while it gets few INVITEs: nothing shows that it has recovered.
+    fn keep_avoided_servers_reported(&mut self, evaluation: &Evaluation) {
         let ServerSurvey { avoided, late, .. } = &evaluation.survey;
         for name in avoided.iter().filter(|name| !late.iter().any(|server| server.name == **name)) {
-            self.troubles.keep_open(evaluation.now, TroubleKind::Slow, name);
+            self.incidents.keep_open(evaluation.now, TroubleKind::Slow, name);
         }
     }
 
@@ -184,7 +192,7 @@
         !survey.late.is_empty()
             && survey.evaluated > 1
             && survey.healthy == 0
-            && (evaluation.is_unexplained || self.troubles.is_open(TroubleKind::AllSlow, ""))
+            && (evaluation.is_unexplained || self.incidents.is_open(TroubleKind::AllSlow, ""))
     }
 
     fn report_slow_server(&mut self, evaluation: &Evaluation, server: &LateServer) {
@@ -195,7 +203,7 @@
             confidence: server.confidence(),
             evidence: server.evidence(),
         };
-        self.troubles.observe(evaluation.now, finding);
+        self.incidents.observe(evaluation.now, finding);
     }
 
     fn report_all_slow(&mut self, evaluation: &Evaluation) {
@@ -203,14 +211,14 @@
         let finding = Finding {
             kind: TroubleKind::AllSlow,
             subject: "",
-            onset: self.troubles.merge(TroubleKind::Slow, evaluation.onset),
+            onset: self.incidents.take_earliest_onset(TroubleKind::Slow, evaluation.onset),
             confidence: ALL_SLOW_CONFIDENCE,
             evidence: format!(
                 "{} of {evaluated} answer late while no more is offered than usual",
                 late.len()
             ),
         };
-        self.troubles.observe(evaluation.now, finding);
+        self.incidents.observe(evaluation.now, finding);
     }
 
     fn report_overload(&mut self, evaluation: &Evaluation, confidence: f64, evidence: String) {
@@ -221,11 +229,11 @@
             confidence,
             evidence,
         };
-        self.troubles.observe(evaluation.now, finding);
+        self.incidents.observe(evaluation.now, finding);
     }
 
-    /// Whether so many servers started or were silent lately that this explains what is late. One of many servers leaves
-    /// the others little more to do.
+    /// Whether enough servers recently started or were silent to explain late answers. A single server of many hardly
+    /// increases the load on the others.
     fn is_aftermath(&self, now: Moment) -> bool {
         let has_changed = |server: &&ServerStats| {
             is_recent(server.started_at, now, AFTERMATH) || is_recent(server.silent_at, now, AFTERMATH)
@@ -234,31 +242,31 @@
         changed * AFTERMATH_SERVERS >= self.servers.len().max(1)
     }
 
-    /// Whether callers that dial again at once, or all dial one number, make more of the demand.
-    fn do_callers_press(&self, now: Moment) -> bool {
-        self.troubles.any_recent(now, AFTERMATH / 2, LAST_ENDED, |kind| {
+    /// Whether immediate redials or a flooded number inflate, or recently inflated, the demand.
+    fn is_demand_inflated(&self, now: Moment) -> bool {
+        self.incidents.any_recent(now, AFTERMATH / 2, LAST_ENDED, |kind| {
             matches!(kind, TroubleKind::Redials | TroubleKind::HotNumber)
         })
     }
 
-    /// Whether no front is, or was a moment ago, cut off, suspended or gone: it alone causes its rejections.
-    fn is_fleet_whole(&self, now: Moment) -> bool {
-        !self.troubles.any_recent(now, AFTERMATH, LAST_ENDED, |kind| {
+    /// Whether no front is, or recently was, cut off, suspended or ended. Such a front causes rejections by itself.
+    fn are_fronts_healthy(&self, now: Moment) -> bool {
+        !self.incidents.any_recent(now, AFTERMATH, LAST_ENDED, |kind| {
             matches!(kind, TroubleKind::CutOff | TroubleKind::FrontStalled | TroubleKind::FrontKilled)
         })
     }
 }
 
-/// The late server that carries the least, where it alone carries less than usual.
+/// The late server with the smallest load share, if it is the only one with a reduced load.
 fn least_loaded(late: &[LateServer]) -> Option<&LateServer> {
-    let least = late.iter().min_by(|a, b| a.carried_share.total_cmp(&b.carried_share))?;
+    let least = late.iter().min_by(|a, b| a.load_share.total_cmp(&b.load_share))?;
     let others: Vec<&LateServer> = late.iter().filter(|server| server.name != least.name).collect();
     if others.is_empty() {
         return None;
     }
-    let do_carry_on = others.iter().all(|other| other.carried_share >= UNREDUCED_SHARE);
-    let do_carry_far_more = others.iter().all(|other| other.carried_share >= least.carried_share * 2.0);
-    let is_alone = (least.carried_share < SMALL_SHARE && do_carry_far_more)
-        || (least.carried_share < REDUCED_SHARE && do_carry_on);
-    is_alone.then_some(least)
+    let are_others_unreduced = others.iter().all(|other| other.load_share >= UNREDUCED_SHARE);
+    let are_others_far_above = others.iter().all(|other| other.load_share >= least.load_share * 2.0);
+    let is_only_reduced = (least.load_share < SMALL_SHARE && are_others_far_above)
+        || (least.load_share < REDUCED_SHARE && are_others_unreduced);
+    is_only_reduced.then_some(least)
 }
--- a/crates/ochrelead-diagnosis/src/diagnosis/callers.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis/callers.rs
@@ -1,28 +1,29 @@
-//! What callers do: redials at once, and called numbers that many dial.
+//! Detects incidents caused by callers: immediate redials of one tenant, and a called number that many dial.
 
 use std::collections::BTreeMap;
 
 use ochrelead_core::time::Moment;
 
-use super::trouble_log::Finding;
+use super::incident_log::Finding;
 use super::{Diagnosis, window_middle};
 use crate::trouble::TroubleKind;
 
-/// So many cases within the window are a trouble.
+/// The number of cases within the window that makes an incident.
 const MIN_CASES: usize = 4;
-/// A number with so many attempts and calls at once is flooded.
+/// A number with this many concurrent attempts and calls is flooded.
 const MIN_OPEN_CALLS: usize = 4;
-/// So many cases give full confidence.
+/// The number of cases that gives full confidence in a flooded number.
 const CONFIDENT_FLOOD_CASES: f64 = 12.0;
+/// The number of cases that gives full confidence in redials.
 const CONFIDENT_REDIAL_CASES: f64 = 15.0;
 
-/// How often something was seen.
+/// A value with its number of occurrences.
 struct Count<T> {
     value: T,
     count: usize,
 }
 
-/// The most frequent value; of equals the highest.
+/// The most frequent value; of equally frequent ones, the highest.
 fn most_frequent<T: Ord>(values: impl Iterator<Item = T>) -> Option<Count<T>> {
     let mut counts = BTreeMap::new();
     for value in values {
@@ -32,7 +33,7 @@
 }
 
 impl Diagnosis {
-    /// Callers that dial again at once, and numbers that many dial.
+    /// Reports a flooded number if there is one, otherwise a tenant whose callers redial immediately.
     pub(super) fn evaluate_callers(&mut self, now: Moment) {
         if let Some(flooded) = self.flooded_number() {
             let finding = Finding {
@@ -42,15 +43,16 @@
                 confidence: (flooded.count as f64 / CONFIDENT_FLOOD_CASES).min(1.0),
                 evidence: format!("{} tries met its busy lines, or are open, at once", flooded.count),
             };
-            self.troubles.observe(now, finding);
+            self.incidents.observe(now, finding);
             return;
         }
-        let all = self.immediate_redials.len();
+        let total = self.immediate_redials.len();
         let Some(Count { value: tenant, count }) = most_frequent(self.immediate_redials.values().copied())
         else {
             return;
         };
-        if count < MIN_CASES || count * 4 < all * 3 {
+        let is_majority = count * 4 >= total * 3;
+        if count < MIN_CASES || !is_majority {
             return;
         }
         let finding = Finding {
@@ -58,12 +60,12 @@
             subject: &format!("member {tenant}"),
             onset: window_middle(now),
             confidence: (count as f64 / CONFIDENT_REDIAL_CASES).min(1.0),
-            evidence: format!("{count} of {all} tries that came again at once are its callers'"),
+            evidence: format!("{count} of {total} tries that came again at once are its callers'"),
         };
-        self.troubles.observe(now, finding);
+        self.incidents.observe(now, finding);
     }
 
-    /// The number whose lines were busy most often, or the one with the most open calls.
+    /// The number that was busy most often, or else the one with the most open calls; `None` if too few.
     fn flooded_number(&self) -> Option<Count<String>> {
         let busiest = most_frequent(self.busy_numbers.values());
         if let Some(Count { value, count }) = busiest.filter(|busiest| busiest.count >= MIN_CASES) {
--- a/crates/ochrelead-diagnosis/src/diagnosis/events.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis/events.rs
@@ -1,22 +1,23 @@
-//! What each event of a log changes in the state.
+//! Updates the state of the diagnosis with each event of the log.
 
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_event_log::reader::FrontIncarnation;
 use ochrelead_event_log::schema::event::What;
 use ochrelead_event_log::schema::{Denial, Ended, Ending, GivenUp, Invite, Stands, Taken};
 
-use super::trouble_log::{Finding, SAME_TROUBLE_WITHIN};
+use super::incident_log::{Finding, INCIDENT_MERGE_GAP};
 use super::{Diagnosis, OpenCall, WINDOW};
 use crate::statistics::{FrontActivity, RecentEvents, SERVER_RETENTION, seconds};
 use crate::trouble::TroubleKind;
 
-/// A redial so soon after the end of the last attempt is none of a patient caller.
+/// A redial within this time after the end of the last attempt at the number is immediate: a patient caller waits
+/// longer.
 const IMMEDIATE_REDIAL: Span = Span::from_millis(150);
-/// An attempt at a number whose last attempt ended less than this ago is a redial, and no new demand.
+/// An attempt within this time after the end of the last attempt at the number is a redial and not new demand.
 const REDIAL_WITHIN: Span = Span::from_secs(5);
-/// A front that was suspended for less is not reported.
+/// A front that was suspended for less than this is not reported.
 const MIN_STALL: Span = Span::from_millis(500);
-/// Beyond so many called numbers the ends of their last attempts are forgotten.
+/// Above this number of called numbers, old ends of attempts are dropped.
 const MAX_ENDED_ATTEMPTS: usize = 100_000;
 
 impl Diagnosis {
@@ -131,7 +132,7 @@
             confidence: 1.0,
             evidence: format!("it came {:.1} s too late for its turn", seconds(duration)),
         };
-        self.troubles.record_ended(finding, time);
+        self.incidents.record_ended(finding, time);
     }
 
     fn end_attempt(&mut self, attempt: &str, time: Moment) {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Ends the calls of a front that has ended: its log has no end of them.
+    /// Ends the open calls of a front whose process has ended: its log does not record their end.
     pub(super) fn end_calls_of(&mut self, front: &str) {
         let calls = self.open_calls.iter().filter(|(_, call)| call.front == front);
         let attempts: Vec<String> = calls.map(|(attempt, _)| attempt.clone()).collect();
@@ -164,37 +165,37 @@
         }
     }
 
-    /// A front writes: it is alive, perhaps as a new incarnation.
+    /// Updates the activity of the front that wrote a record. Detects a restart by the new incarnation.
     pub(super) fn on_record(&mut self, time: Moment, incarnation: &FrontIncarnation) {
         let name = incarnation.front.as_str();
         let front = self.fronts.entry(name.to_owned()).or_default();
         if front.started_us == incarnation.started_us {
             front.last_record_at = front.last_record_at.max(time);
-            // The same incarnation goes on: records are missing, not the front.
-            self.troubles.withdraw(TroubleKind::FrontKilled, name);
+            // The same incarnation writes again: its records were missing, but it had not ended.
+            self.incidents.withdraw(TroubleKind::FrontKilled, name);
             return;
         }
-        let former = std::mem::replace(
+        let previous = std::mem::replace(
             front,
             FrontActivity { started_us: incarnation.started_us, last_record_at: time, has_left: false },
         );
         for server in self.servers.values_mut() {
             server.last_heard_by.remove(name);
         }
-        if former.started_us == 0 {
+        if previous.started_us == 0 {
             return;
         }
         self.end_calls_of(name);
-        if !former.has_left {
-            self.troubles.withdraw(TroubleKind::FrontKilled, name);
+        if !previous.has_left {
+            self.incidents.withdraw(TroubleKind::FrontKilled, name);
             let finding = Finding {
                 kind: TroubleKind::FrontKilled,
                 subject: name,
-                onset: former.last_record_at,
+                onset: previous.last_record_at,
                 confidence: 1.0,
                 evidence: "its records end without a word and begin anew".to_owned(),
             };
-            self.troubles.record_ended(finding, time);
+            self.incidents.record_ended(finding, time);
         }
     }
 
@@ -217,7 +218,7 @@
         self.server(name).record_heard(front, time);
     }
 
-    /// A server has restarted: what was taken for silence was its end.
+    /// Reports a restart of a server. It replaces an open report of silence, which the restart explains.
     fn on_server_started(
         &mut self,
         time: Moment,
@@ -225,19 +226,19 @@
         last_heard_at: Option<Moment>,
         draining_since: Option<Moment>,
     ) {
-        let silence = self.troubles.withdraw(TroubleKind::Silent, name);
-        // Other fronts have the same announcement.
+        let silence = self.incidents.withdraw(TroubleKind::Silent, name);
+        // Another front's record of the same announcement has been reported already.
         let last_ends =
-            [TroubleKind::Crashed, TroubleKind::Replaced].map(|kind| self.troubles.last_end(kind, name));
-        if last_ends.into_iter().flatten().any(|end| time.since(end) < SAME_TROUBLE_WITHIN) {
+            [TroubleKind::Crashed, TroubleKind::Replaced].map(|kind| self.incidents.last_end(kind, name));
+        if last_ends.into_iter().flatten().any(|end| time.since(end) < INCIDENT_MERGE_GAP) {
             return;
         }
-        let silent_since = silence.map(|trouble| trouble.onset).or(last_heard_at).unwrap_or(time);
+        let silent_since = silence.map(|incident| incident.onset).or(last_heard_at).unwrap_or(time);
         let (kind, onset, evidence) = match draining_since {
             Some(onset) => (TroubleKind::Replaced, onset, "it said that it drains, then that it started"),
             None => (TroubleKind::Crashed, silent_since, "it said that it started, and nothing before"),
         };
         let finding = Finding { kind, subject: name, onset, confidence: 1.0, evidence: evidence.to_owned() };
-        self.troubles.record_ended(finding, time);
+        self.incidents.record_ended(finding, time);
     }
 }
--- a/crates/ochrelead-diagnosis/src/diagnosis/presence.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis/presence.rs
@@ -1,51 +1,52 @@
-//! Which fronts write, and which servers are heard.
+//! Detects fronts that stopped writing records, and servers that were not heard from by all fronts or by one front.
 
 use ochrelead_core::time::{Moment, Span};
 
 use super::Diagnosis;
-use super::trouble_log::Finding;
+use super::incident_log::Finding;
 use crate::statistics::FrontActivity;
 use crate::trouble::TroubleKind;
 
-/// A server without a sign of life for so long, with INVITEs outstanding, is silent.
+/// A server that has not been heard from for this time while INVITEs are outstanding is silent.
 const SILENCE: Span = Span::from_millis(1_300);
-/// A front in service writes at least so often.
+/// A front whose last record is older than this is suspended or has ended: a front in service writes each second.
 const WRITE_INTERVAL: Span = Span::from_millis(1_200);
-/// A front that writes nothing for so long has ended; it writes each second.
+/// A front that has written no record for this time has ended: a front in service writes each second.
 const MAX_WITHOUT_RECORD: Span = Span::from_secs(4);
-/// The confidence that a front without records has ended, and that silence or a cut is what it seems.
+/// The confidence that a front without records has ended.
 const MISSING_FRONT_CONFIDENCE: f64 = 0.8;
+/// The confidence in a silent server or a front that is cut off.
 const SILENCE_CONFIDENCE: f64 = 0.9;
 
-/// A front that writes no more.
+/// A front that has stopped writing records.
 struct MissingFront {
     name: String,
     last_record_at: Moment,
 }
 
-/// A server that nobody hears.
+/// A server that no front hears from.
 struct SilentServer {
     name: String,
     last_heard_at: Moment,
-    /// INVITEs that wait there.
-    waiting: usize,
+    /// The number of unanswered INVITEs.
+    unanswered: usize,
 }
 
-/// A front that hears no server.
+/// A front that hears from no server.
 struct CutOffFront {
     name: String,
-    /// When it last heard one.
+    /// When it last heard from a server.
     onset: Moment,
 }
 
-/// When a server was last heard by any front, and by one of them.
+/// When any front, and when one given front, last heard from a server.
 struct LastHeard {
     by_any: Moment,
     by_front: Moment,
 }
 
 impl Diagnosis {
-    /// Fronts that write no more while others do.
+    /// Reports fronts that have stopped writing records while others write.
     pub(super) fn evaluate_fronts(&mut self, now: Moment) {
         let is_missing = |front: &FrontActivity| now.since(front.last_record_at) >= MAX_WITHOUT_RECORD;
         if self.fronts.values().all(is_missing) {
@@ -56,7 +57,7 @@
             .map(|(name, front)| MissingFront { name: name.clone(), last_record_at: front.last_record_at })
             .collect();
         for front in missing {
-            if !self.troubles.is_open(TroubleKind::FrontKilled, &front.name) {
+            if !self.incidents.is_open(TroubleKind::FrontKilled, &front.name) {
                 self.end_calls_of(&front.name);
             }
             let finding = Finding {
@@ -66,11 +67,11 @@
                 confidence: MISSING_FRONT_CONFIDENCE,
                 evidence: "it has written nothing since, while others write".to_owned(),
             };
-            self.troubles.observe(now, finding);
+            self.incidents.observe(now, finding);
         }
     }
 
-    /// Servers that are not heard: by any front, or by one front alone.
+    /// Reports servers that no front hears from, and fronts that alone hear from no server.
     pub(super) fn evaluate_silence(&mut self, now: Moment) {
         let silent = self.silent_servers(now);
         for server in &silent {
@@ -80,9 +81,12 @@
                 subject: &server.name,
                 onset: server.last_heard_at,
                 confidence: SILENCE_CONFIDENCE,
-                evidence: format!("no sign of it since, with {} INVITEs out over all fronts", server.waiting),
+                evidence: format!(
+                    "no sign of it since, with {} INVITEs out over all fronts",
+                    server.unanswered
+                ),
             };
-            self.troubles.observe(now, finding);
+            self.incidents.observe(now, finding);
         }
         for front in self.cut_off_fronts(now, &silent) {
             let finding = Finding {
@@ -92,7 +96,7 @@
                 confidence: SILENCE_CONFIDENCE,
                 evidence: "it hears none of the servers that others hear".to_owned(),
             };
-            self.troubles.observe(now, finding);
+            self.incidents.observe(now, finding);
         }
     }
 
@@ -101,10 +105,10 @@
         for (name, server) in &self.servers {
             let Some(last_heard_at) = server.last_heard_at else { continue };
             let sent_at = server.outstanding.values();
-            let waiting = sent_at.filter(|sent_at| now.since(**sent_at) > SILENCE / 2).count();
-            let is_known = self.troubles.is_open(TroubleKind::Silent, name);
-            if now.since(last_heard_at) >= SILENCE && (waiting > 0 || is_known) {
-                silent.push(SilentServer { name: name.clone(), last_heard_at, waiting });
+            let unanswered = sent_at.filter(|sent_at| now.since(**sent_at) > SILENCE / 2).count();
+            let is_reported = self.incidents.is_open(TroubleKind::Silent, name);
+            if now.since(last_heard_at) >= SILENCE && (unanswered > 0 || is_reported) {
+                silent.push(SilentServer { name: name.clone(), last_heard_at, unanswered });
             }
         }
         silent
@@ -113,7 +117,8 @@
     fn cut_off_fronts(&self, now: Moment, silent: &[SilentServer]) -> Vec<CutOffFront> {
         let mut cut_off = Vec::new();
         for (name, front) in &self.fronts {
-            // One that writes nothing itself is suspended or gone: that is another trouble.
+            // A front that writes no records is suspended or has ended, which is reported as another kind of
+            // incident.
             if front.has_left || now.since(front.last_record_at) > WRITE_INTERVAL {
                 continue;
             }
@@ -128,7 +133,7 @@
         cut_off
     }
 
-    /// When the servers that are not silent, and that the front has heard, were last heard.
+    /// For each server that is not silent and that the front has heard from: when it was last heard from.
     fn last_heard(&self, front: &str, silent: &[SilentServer]) -> Vec<LastHeard> {
         let is_silent = |name: &String| silent.iter().any(|server| server.name == *name);
         let heard = self.servers.iter().filter(|(name, _)| !is_silent(name));
--- a/crates/ochrelead-diagnosis/src/lib.rs
+++ b/crates/ochrelead-diagnosis/src/lib.rs
@@ -1,8 +1,9 @@
-//! What went wrong, when and where, from the event logs of all fronts. Free of I/O and clocks.
+//! Detects incidents from the event logs of all fronts: what went wrong, when and where. Does no I/O and reads no
+//! clock.
 //!
-//! - [`clocks`]: one time for all fronts, as far as their logs determine it.
-//! - [`trouble`]: the kinds of trouble, with onset, end, evidence and confidence.
-//! - [`diagnosis`]: from events to troubles, the same live and over a whole log.
+//! - [`clocks`]: estimates the clock offset of each front and converts event times to a common clock.
+//! - [`trouble`]: the kinds of incident; an incident has an onset, an end, evidence and a confidence.
+//! - [`diagnosis`]: turns events into incidents. Gives the same result on a live stream as on a complete log.
 //!
 //! ```
 //! use ochrelead_core::time::Moment;
--- a/crates/ochrelead-diagnosis/src/statistics.rs
+++ b/crates/ochrelead-diagnosis/src/statistics.rs
@@ -1,29 +1,29 @@
-//! Recent events and learned averages of servers and fronts. Bookkeeping only.
+//! Sliding windows of events and learned averages, per server and front. Makes no decisions.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use ochrelead_core::time::{Moment, Span};
 
-/// How long answers and INVITEs of a server are kept.
+/// How long a server's answers and INVITEs are kept.
 pub(crate) const SERVER_RETENTION: Span = Span::from_secs(6);
-/// After so many samples an average follows no faster.
+/// The number of samples after which a new sample keeps a constant weight of 1/50 in a learned mean.
 const MAX_SAMPLES: u32 = 50;
-/// Before so many samples an average is not known.
+/// The number of samples that a learned mean requires.
 const MIN_SAMPLES: u32 = 4;
 
-/// A span in seconds.
+/// Converts a span to seconds.
 pub(crate) fn seconds(span: Span) -> f64 {
     span.ratio(Span::from_secs(1))
 }
 
-/// Something that happened, with its time.
+/// A value with the time of its event.
 #[derive(Clone, Debug)]
 pub(crate) struct Timed<T> {
     pub(crate) time: Moment,
     pub(crate) value: T,
 }
 
-/// Events that are kept for a while.
+/// A sliding window of events.
 #[derive(Clone, Debug)]
 pub(crate) struct RecentEvents<T> {
     retention: Span,
@@ -54,13 +54,13 @@
         self.events.iter().map(|event| &event.value)
     }
 
-    /// Those of the last `span` before `now`.
+    /// The events of the last `span` before `now`.
     pub(crate) fn within(&self, now: Moment, span: Span) -> impl Iterator<Item = &Timed<T>> {
         self.events.iter().filter(move |event| now.since(event.time) < span)
     }
 }
 
-/// A mean that learns quickly and then follows slowly.
+/// A running mean: the arithmetic mean of the first samples, then an exponential moving average.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LearnedMean {
     mean: f64,
@@ -73,7 +73,7 @@
         self.mean += (sample - self.mean) / f64::from(self.samples);
     }
 
-    /// The mean, once there are enough samples.
+    /// The mean; `None` until there are `MIN_SAMPLES` samples.
     pub(crate) fn known(&self) -> Option<f64> {
         (self.samples >= MIN_SAMPLES).then_some(self.mean)
     }
@@ -87,27 +87,28 @@
     pub(crate) count: usize,
 }
 
-/// A server, pooled over all fronts.
+/// Statistics of a server, pooled over all fronts.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerStats {
-    /// INVITEs that wait for an answer, by call attempt, with the time when they were sent.
+    /// The times at which unanswered INVITEs were sent, by call attempt.
     pub(crate) outstanding: BTreeMap<String, Moment>,
-    /// Answer times of calls that were established.
+    /// Answer times of established calls.
     pub(crate) answers: RecentEvents<Span>,
-    /// INVITEs that were sent there.
+    /// INVITEs sent to the server.
     pub(crate) invites: RecentEvents<()>,
     pub(crate) first_invite_at: Option<Moment>,
-    /// The last sign of life at any front.
+    /// When any front last heard from the server.
     pub(crate) last_heard_at: Option<Moment>,
-    /// The last sign of life by front.
+    /// When each front last heard from the server.
     pub(crate) last_heard_by: BTreeMap<String, Moment>,
     pub(crate) draining_since: Option<Moment>,
-    /// When it last started, as it announced.
+    /// When it last announced a start.
     pub(crate) started_at: Option<Moment>,
-    /// When it was last found silent.
+    /// When an evaluation last found it silent.
     pub(crate) silent_at: Option<Moment>,
-    /// The answer time, in seconds, and the INVITEs a second while nothing is wrong.
+    /// The usual answer time while the server is healthy, in seconds.
     pub(crate) usual_answer_time: LearnedMean,
+    /// The usual rate of INVITEs to the server while it is healthy, per second.
     pub(crate) usual_invite_rate: LearnedMean,
 }
 
@@ -130,14 +131,14 @@
 }
 
 impl ServerStats {
-    /// A front had a sign of life at that time.
+    /// Records that a front heard from the server at `time`.
     pub(crate) fn record_heard(&mut self, front: &str, time: Moment) {
         self.last_heard_at = self.last_heard_at.max(Some(time));
         let last_heard_at = self.last_heard_by.entry(front.to_owned()).or_insert(time);
         *last_heard_at = (*last_heard_at).max(time);
     }
 
-    /// The median answer time of the last `span`; none without an answer.
+    /// The median answer time of the last `span`; `None` without an answer.
     pub(crate) fn median_answer_time(&self, now: Moment, span: Span) -> Option<MedianAnswerTime> {
         let mut times: Vec<f64> =
             self.answers.within(now, span).map(|answer| seconds(answer.value)).collect();
@@ -147,13 +148,13 @@
     }
 }
 
-/// A front in its present incarnation.
+/// The activity of a front in its current incarnation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FrontActivity {
-    /// When the incarnation started, in microseconds; 0 where none is known.
+    /// When the incarnation started, in microseconds; 0 if no incarnation is known.
     pub(crate) started_us: u64,
     /// The time of its last record.
     pub(crate) last_record_at: Moment,
-    /// It has left service.
+    /// Whether it has announced that it leaves service.
     pub(crate) has_left: bool,
 }
--- a/crates/ochrelead-diagnosis/src/trouble.rs
+++ b/crates/ochrelead-diagnosis/src/trouble.rs
@@ -1,40 +1,40 @@
-//! The kinds of trouble, as docs/on-call.md distinguishes them.
+//! The kinds of incident, as docs/on-call.md distinguishes them.
 
 use std::fmt;
 
 use ochrelead_core::time::Moment;
 
-/// What is wrong.
+/// The kind of an incident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TroubleKind {
-    /// A server is slower than it was and than the others are.
+    /// A server answers later than usual while others answer as usual.
     Slow,
-    /// All servers are slower, and carry less than they did.
+    /// All servers answer later than usual, although demand is not higher.
     AllSlow,
-    /// A server takes set-ups and answers none.
+    /// A server answers none of the INVITEs sent to it.
     Silent,
-    /// A server was gone and has restarted without an announcement.
+    /// A server restarted without announcing a drain before.
     Crashed,
-    /// A server drained and has restarted.
+    /// A server drained and restarted.
     Replaced,
-    /// Answers of a server are lost on the way.
+    /// Answers of a server are lost in the network.
     AnswersLost,
-    /// A front hears no server, while others hear them.
+    /// A front receives nothing from servers that other fronts receive from.
     CutOff,
-    /// A front ended without leaving service.
+    /// A front ended without announcing that it leaves service.
     FrontKilled,
-    /// A front was suspended for a while.
+    /// A front's process was suspended.
     FrontStalled,
-    /// One tenant's callers dial again at once.
+    /// One tenant's callers redial immediately.
     Redials,
-    /// Many dial one number.
+    /// Many callers dial the same number.
     HotNumber,
-    /// More is offered than can be carried.
+    /// Demand exceeds capacity.
     Overload,
 }
 
 impl TroubleKind {
-    /// The stable identifier, for machines: a renamed variant keeps it.
+    /// The identifier in JSON output. Stable: it stays the same if a variant is renamed.
     pub fn id(self) -> &'static str {
         match self {
             TroubleKind::Slow => "Slow",
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A name of a word or two, for plots.
+    /// A short name for plots, of one or two words.
     pub fn short_name(self) -> &'static str {
         match self {
             TroubleKind::Slow => "slow",
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The name in reports.
+    /// The name shown in reports.
     pub fn name(self) -> &'static str {
         match self {
             TroubleKind::Slow => "slow",
@@ -89,20 +89,20 @@
     }
 }
 
-/// One trouble.
+/// A detected incident.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trouble {
     /// What is wrong.
     pub kind: TroubleKind,
-    /// The server, front, tenant or called number concerned; empty where it is the fleet.
+    /// The server, front, tenant or called number affected; empty if it is the whole fleet.
     pub subject: String,
     /// When it began.
     pub onset: Moment,
-    /// When it ended; none while it lasts.
+    /// When it ended; `None` while it is ongoing.
     pub end: Option<Moment>,
-    /// How sure this is, 0 to 1: how far the evidence is above the least that is needed.
+    /// The confidence from 0 to 1: how far the evidence exceeds the required minimum.
     pub confidence: f64,
-    /// What was seen, as a sentence.
+    /// The evidence in words.
     pub evidence: String,
 }
 
