--- a/crates/ochrelead-report/src/export.rs
+++ b/crates/ochrelead-report/src/export.rs
@@ -1,4 +1,4 @@
-//! All events as one table, on the common clock.
+//! Exports all events as a Parquet table, with times on the common clock.
 
 use std::path::{Path, PathBuf};
 
@@ -12,7 +12,7 @@
 use crate::readable_name;
 use crate::survey::{open_folders, survey};
 
-/// The columns; times in microseconds, moments since 1970 on the common clock.
+/// The columns. All times are in microseconds; `at_us` counts from 1970 on the common clock.
 const COLUMNS: [(&str, ColumnType); 13] = [
     ("at_us", ColumnType::Integer),
     ("front", ColumnType::Text),
@@ -29,11 +29,11 @@
     ("figure", ColumnType::Float),
 ];
 
-/// Writes all events of some folders; how many there were.
+/// Writes all events of the records folders to a table at `path`. Returns the number of rows.
 ///
 /// # Errors
 ///
-/// Where a folder can't be read or the table can't be written.
+/// If a folder can't be read or the table can't be written.
 pub fn export(folders: &[PathBuf], path: &Path) -> Result<usize, ReportError> {
     let (logs, _) = open_folders(folders)?;
     let clocks = survey(&logs).clocks;
@@ -66,7 +66,7 @@
     ]
 }
 
-/// What an event says, column by column.
+/// The columns that depend on the kind of event. A column that does not apply is empty.
 #[derive(Default)]
 struct Row {
     event: &'static str,
@@ -87,7 +87,7 @@
         Row { event, ..Row::default() }
     }
 
-    /// Of an event of a session, at a server.
+    /// A row for an event of a session at a server.
     fn at_server(event: &'static str, session: &str, server: &str) -> Row {
         Row::new(event).session(session).server(server)
     }
@@ -104,7 +104,7 @@
         Row { detail: Some(detail.to_owned()), ..self }
     }
 
-    /// The detail as the name of an enum's value; none where this version does not know the value.
+    /// Sets the detail to the name of an enum value; `None` if this version does not know the value.
     fn detail_name(self, name: Option<&str>) -> Row {
         Row { detail: name.map(readable_name), ..self }
     }
@@ -113,7 +113,7 @@
         Row { manner: Some(manner.to_owned()), ..self }
     }
 
-    /// The manner as the name of an enum's value; none where this version does not know the value.
+    /// Sets the manner to the name of an enum value; `None` if this version does not know the value.
     fn manner_name(self, name: Option<&str>) -> Row {
         Row { manner: name.map(readable_name), ..self }
     }
--- a/crates/ochrelead-report/src/incident.rs
+++ b/crates/ochrelead-report/src/incident.rs
@@ -1,5 +1,6 @@
-//! All records of some folders on one clock, with the diagnosis. They are read three times, piece by piece: what
-//! ties the clocks, what happened, and the steps of the sessions that are told. None is kept.
+//! Gathers the contents of a report from event logs. Reads the logs in three passes: to estimate the clock offsets,
+//! to detect incidents and count events, and to collect the steps of the longest sessions. Records are streamed and
+//! not kept in memory.
 
 use std::path::PathBuf;
 
@@ -14,40 +15,41 @@
 use crate::survey::{IncarnationSummary, Survey, open_folders, survey};
 use crate::time_series::TimeSeries;
 
-/// What is known of an incident.
+/// The contents of a report on one or more event logs.
 pub struct Incident {
     /// The time of the first event.
     pub from: Moment,
     /// The time of the last event.
     pub to: Moment,
-    /// How many events there are.
+    /// The number of events.
     pub events: u64,
-    /// What there is of each front's incarnation.
+    /// The coverage of the log of each front incarnation.
     pub incarnations: Vec<IncarnationSummary>,
-    /// What went wrong.
+    /// The detected incidents, in the order of their onsets.
     pub troubles: Vec<Trouble>,
-    /// What is plotted.
+    /// Counts and answer times per interval.
     pub series: TimeSeries,
-    /// The sessions that waited longest.
+    /// The sessions whose callers waited longest.
     pub longest_sessions: Vec<SessionTrace>,
-    /// What of the logs could not be read.
+    /// The parts of the logs that could not be read.
     pub damage: Damage,
-    /// Incarnations whose clocks nothing ties to the others'.
+    /// Incarnations whose clock offset to the others is unknown, see
+    /// [`ochrelead_diagnosis::clocks::Clocks::unrelated`].
     pub unsynchronized: Vec<FrontIncarnation>,
 }
 
 impl Incident {
-    /// Reads some folders.
+    /// Reads the event logs of the records folders.
     ///
     /// # Errors
     ///
-    /// Where one can't be read.
+    /// If a folder can't be read.
     pub fn read(folders: &[PathBuf]) -> Result<Incident, ReportError> {
         let (logs, damage) = open_folders(folders)?;
         Ok(Incident::from_logs(&logs, damage))
     }
 
-    /// Of logs, with what was already found damaged about them.
+    /// Gathers the report from logs. `damage` is the damage found while opening them.
     pub fn from_logs(logs: &[Log], mut damage: Damage) -> Incident {
         let Survey { clocks, incarnations } = survey(logs);
         let from = incarnations.values().map(|summary| summary.from).min().unwrap_or(Moment::START);
@@ -83,7 +85,7 @@
         }
     }
 
-    /// The first and the last moment.
+    /// The times of the first and the last event.
     pub fn span(&self) -> (Moment, Moment) {
         (self.from, self.to)
     }
--- a/crates/ochrelead-report/src/json.rs
+++ b/crates/ochrelead-report/src/json.rs
@@ -1,4 +1,4 @@
-//! The diagnosis for machines.
+//! Renders the diagnosis as JSON.
 
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_diagnosis::trouble::Trouble;
@@ -7,7 +7,7 @@
 use crate::incident::Incident;
 use crate::survey::IncarnationSummary;
 
-/// Troubles, clocks and gaps; moments in microseconds since 1970 on the common clock.
+/// Renders incidents, clock offsets and gaps in the logs. Times are in microseconds since 1970 on the common clock.
 pub fn render(incident: &Incident) -> Value {
     let troubles: Vec<Value> = incident.troubles.iter().map(trouble).collect();
     let incarnations: Vec<Value> = incident.incarnations.iter().map(incarnation).collect();
--- a/crates/ochrelead-report/src/lib.rs
+++ b/crates/ochrelead-report/src/lib.rs
@@ -1,11 +1,12 @@
-//! An incident explained from the fronts' own event logs.
+//! Reports on incidents from the event logs of all fronts.
 //!
-//! - [`incident`]: all records of some folders on one clock, with the diagnosis; [`survey`]: the first reading of them.
-//! - [`merged_log`]: all fronts' records in one order, without keeping them.
-//! - [`longest_sessions`]: the sessions that waited longest, step by step.
-//! - [`time_series`]: what is plotted, in intervals of equal length.
-//! - [`export`]: all events as one table.
-//! - [`page`]: one file for people; [`json`]: the same for machines.
+//! - [`incident`]: reads the logs and gathers the contents of a report.
+//! - [`survey`]: the first pass over the logs: clock offsets, and the coverage of each front's log.
+//! - [`merged_log`]: merges the logs of all fronts into one stream in the order of the common clock.
+//! - [`longest_sessions`]: the sessions whose callers waited longest, step by step.
+//! - [`time_series`]: counts and answer times per interval, for the plots.
+//! - [`export`]: writes all events as a Parquet table.
+//! - [`page`]: renders the report as a page; [`json`]: renders it as JSON.
 
 pub mod error;
 pub mod export;
@@ -17,7 +18,7 @@
 pub mod survey;
 pub mod time_series;
 
-/// The name of a schema's enum value in plain words.
+/// Converts the name of an enum value of the schema to lower-case words: `NO_TOKEN` becomes `no token`.
 fn readable_name(name: &str) -> String {
     name.to_lowercase().replace('_', " ")
 }
--- a/crates/ochrelead-report/src/longest_sessions.rs
+++ b/crates/ochrelead-report/src/longest_sessions.rs
@@ -1,4 +1,4 @@
-//! The sessions that waited longest, step by step.
+//! Traces of the sessions whose callers waited longest.
 
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_event_log::reader::Record;
@@ -6,9 +6,9 @@
 
 use crate::readable_name;
 
-/// How many sessions are kept.
+/// The number of sessions that are traced.
 const MAX_SESSIONS: usize = 5;
-/// The most steps of one session; what comes after them is left out.
+/// The maximum number of steps in a trace. Later steps are dropped.
 const MAX_STEPS: usize = 60;
 
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -16,31 +16,32 @@
 /// A step of a session.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceStep {
-    /// When it was, on the common clock.
+    /// The time of the step on the common clock.
     pub time: Moment,
-    /// The front, and what happened there.
+    /// The front and the event there.
     pub description: String,
 }
 
-/// One session with its steps.
+/// The steps of one session.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SessionTrace {
     /// The session's identifier.
     pub session: String,
-    /// How long its caller waited.
+    /// The time from the set-up request until the call was established or the caller hung up.
     pub waited: Span,
-    /// Its steps, the oldest first.
+    /// The steps in the order of time.
     pub steps: Vec<TraceStep>,
 }
 
-/// The sessions that waited longest: found in one reading, their steps collected in the next.
+/// Selects the sessions with the longest waits in one pass over the records and collects their steps in a second
+/// pass.
 #[derive(Clone, Debug, Default)]
 pub struct LongestSessions {
     traces: Vec<SessionTrace>,
 }
 
 impl LongestSessions {
-    /// First reading: keeps the record's session where it ends and is one of the longest.
+    /// First pass: selects the session of a record that ends its wait, if the wait is among the longest so far.
     pub fn consider(&mut self, record: &Record) {
         let (session, waited_us) = match &record.event.what {
             Some(What::Stands(stands)) => (&stands.tried, stands.since_taken_us),
@@ -60,12 +61,12 @@
         self.traces.truncate(MAX_SESSIONS);
     }
 
-    /// Whether no session was kept.
+    /// Whether no session is selected.
     pub fn is_empty(&self) -> bool {
         self.traces.is_empty()
     }
 
-    /// Second reading: keeps the record where it is a step of one of the sessions.
+    /// Second pass: adds the record to the trace of its session, if that is selected.
     pub fn collect_step(&mut self, time: Moment, record: &Record) {
         let Some((session, step)) = record.event.what.as_ref().and_then(describe_step) else { return };
         for trace in &mut self.traces {
@@ -76,13 +77,13 @@
         }
     }
 
-    /// The sessions, the longest first.
+    /// The traces by descending wait.
     pub fn into_traces(self) -> Vec<SessionTrace> {
         self.traces
     }
 }
 
-/// The session that an event is a step of, and the step in plain words.
+/// The session of an event and a description of the step; `None` if the event belongs to no session.
 fn describe_step(what: &What) -> Option<(&str, String)> {
     let (session, step) = match what {
         What::Taken(taken) => (&taken.tried, format!("taken, to {}", taken.called)),
--- a/crates/ochrelead-report/src/main.rs
+++ b/crates/ochrelead-report/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `ochrelead-report`.
+//! The program `ochrelead-report`: reports on incidents from event logs.
 
 use std::fs;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 use ochrelead_report::incident::Incident;
 use ochrelead_report::{export, json, page};
 
-/// Explains what happened, from the fronts' own records.
+/// Reports on incidents from the event logs of the fronts
 #[derive(Parser)]
 #[command(
     version,
@@ -19,21 +19,21 @@
   ochrelead-report front-a/records front-b/records --json"
 )]
 struct Arguments {
-    /// Folders of records
+    /// Records folders of the fronts
     #[arg(required = true, value_name = "DIR")]
     folders: Vec<PathBuf>,
-    /// One self-contained page
+    /// Write a self-contained HTML page to this file
     #[arg(long, value_name = "FILE")]
     out: Option<PathBuf>,
-    /// All events as a Parquet table
+    /// Write all events to this file as a Parquet table
     #[arg(long, value_name = "FILE")]
     parquet: Option<PathBuf>,
-    /// The diagnosis for machines, to standard output
+    /// Print the diagnosis as JSON instead of text
     #[arg(long)]
     json: bool,
 }
 
-/// The exit code where a folder can't be read or a file not be written.
+/// The exit code if a folder can't be read or a file can't be written.
 const EXIT_FAILED: u8 = 2;
 
 fn main() -> ExitCode {
@@ -62,7 +62,7 @@
     Ok(())
 }
 
-/// Prints a line for each trouble.
+/// Prints one line for each incident.
 fn print_troubles(incident: &Incident) {
     let seconds = |span: Span| span.ratio(Span::from_secs(1));
     for trouble in &incident.troubles {
--- a/crates/ochrelead-report/src/merged_log.rs
+++ b/crates/ochrelead-report/src/merged_log.rs
@@ -1,7 +1,8 @@
-//! All fronts' records in one order.
+//! Merges the logs of all fronts into one ordered stream of records.
 //!
-//! An incarnation's events keep their own order, whatever its clock says; incarnations of one front follow one
-//! another; between fronts the common clock decides. Only the next event of each front is kept.
+//! Events of one incarnation keep the order of its log, even if its clock was set back. Incarnations of one front
+//! follow one another. Events of different fronts are ordered by the common clock. Only the next event of each front
+//! is held in memory.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -10,11 +11,12 @@
 use ochrelead_diagnosis::clocks::Clocks;
 use ochrelead_event_log::reader::{Damage, Log, Record};
 
-/// One front's logs, in the order of its incarnations; the first is being read.
+/// The remaining logs of one front, in the order of its incarnations. The first one is being read.
 struct FrontLogs {
     logs: VecDeque<Log>,
-    /// No event that is still to come is before this.
-    reached: Moment,
+    /// The time of the latest event read. Later events with an earlier time are moved up to it.
+    latest: Moment,
+    /// The next event, read ahead.
     next: Option<Record>,
 }
 
@@ -31,7 +33,7 @@
     }
 }
 
-/// Records with their times on the common clock, in the order of these.
+/// Iterates over the records of all fronts with their times on the common clock, in the order of time.
 pub struct MergedLog<'a> {
     clocks: &'a Clocks,
     fronts: Vec<FrontLogs>,
@@ -41,7 +43,7 @@
 }
 
 impl<'a> MergedLog<'a> {
-    /// Merges logs by the given clocks.
+    /// Merges `logs`; `clocks` convert event times to the common clock.
     pub fn new(logs: Vec<Log>, clocks: &'a Clocks) -> MergedLog<'a> {
         let mut by_front: BTreeMap<String, VecDeque<Log>> = BTreeMap::new();
         for log in logs {
@@ -50,32 +52,33 @@
         let mut merged =
             MergedLog { clocks, fronts: Vec::new(), queue: BinaryHeap::new(), damage: Damage::default() };
         for mut logs in by_front.into_values() {
-            // By the common clock: a front whose clock was set back between two starts numbers them in the wrong order.
-            let started = |log: &Log| {
+            // Sort by the common clock: by the front's own clock, two incarnations appear in the wrong order if the
+            // clock was set back between their starts.
+            let started_us = |log: &Log| {
                 log.incarnation
                     .started_us
                     .saturating_add_signed(clocks.initial_offset(&log.incarnation).offset_us)
             };
-            logs.make_contiguous().sort_by_key(started);
-            merged.fronts.push(FrontLogs { logs, reached: Moment::START, next: None });
+            logs.make_contiguous().sort_by_key(started_us);
+            merged.fronts.push(FrontLogs { logs, latest: Moment::START, next: None });
             merged.refill(merged.fronts.len() - 1);
         }
         merged
     }
 
-    /// What could not be read, of what was read.
+    /// The damage found in the logs that have been read completely.
     pub fn damage(&self) -> &Damage {
         &self.damage
     }
 
-    /// Reads the next event of a front.
+    /// Reads the next event of a front and queues it.
     fn refill(&mut self, index: usize) {
         let front = &mut self.fronts[index];
         front.next = front.read_next(&mut self.damage);
         if let Some(record) = &front.next {
             let time = Moment::from_micros(self.clocks.common_time_us(&record.incarnation, &record.event));
-            front.reached = front.reached.max(time);
-            self.queue.push(Reverse((front.reached, index)));
+            front.latest = front.latest.max(time);
+            self.queue.push(Reverse((front.latest, index)));
         }
     }
 }
--- a/crates/ochrelead-report/src/page.rs
+++ b/crates/ochrelead-report/src/page.rs
@@ -1,4 +1,4 @@
-//! One self-contained file for people: no script, no font and no picture from elsewhere, light and dark.
+//! Renders the report as a self-contained HTML page: without scripts and external resources, for light and dark mode.
 
 mod plots;
 mod tables;
@@ -11,7 +11,7 @@
 
 const STYLE: &str = include_str!("page/style.css");
 
-/// The whole page.
+/// Renders the page.
 pub fn render(incident: &Incident) -> String {
     let page = html! {
         (DOCTYPE)
@@ -76,7 +76,7 @@
     }
 }
 
-/// A trouble as a sentence.
+/// Describes an incident in a sentence.
 fn sentence(trouble: &Trouble) -> String {
     let duration = match trouble.end {
         Some(end) => format!("for {:.1} s", seconds(end.since(trouble.onset))),
@@ -86,7 +86,7 @@
     format!("{subject}{} {duration}; {}.", trouble.kind.name(), trouble.evidence)
 }
 
-/// The longest sessions, each with all its steps.
+/// Lists the longest sessions with their steps.
 fn longest_sessions(incident: &Incident) -> Markup {
     html! {
         @for trace in &incident.longest_sessions {
--- a/crates/ochrelead-report/src/page/plots.rs
+++ b/crates/ochrelead-report/src/page/plots.rs
@@ -1,4 +1,4 @@
-//! The page's plots, as SVG.
+//! Renders the plots of the page as SVG.
 
 use maud::{Markup, html};
 use ochrelead_core::time::{Moment, Span};
@@ -10,30 +10,31 @@
 
 /// The width of all plots, in SVG units.
 const WIDTH: f64 = 900.0;
-/// Where the time axis begins; labels are left of it.
+/// The x position of the start of the time axis. Labels are to the left of it.
 const AXIS_LEFT: f64 = 150.0;
-/// The height of a row of the troubles' plot.
+/// The height of a row in the timeline of incidents.
 const TROUBLE_ROW_HEIGHT: f64 = 20.0;
-/// The height of a row of the fronts' plot.
+/// The height of a row in the plot of fronts.
 const FRONT_ROW_HEIGHT: f64 = 14.0;
-/// The height of a server's lines, above the axis.
+/// The height of the lines of a server's plot, above the axis.
 const SERVER_PLOT_HEIGHT: f64 = 70.0;
-/// The height of the axis' labels.
+/// The height of the axis labels.
 const AXIS_HEIGHT: f64 = 18.0;
-/// The room above a line's highest point.
+/// The space above the highest point of a line.
 const LINE_MARGIN: f64 = 4.0;
-/// The shortest length that a plot is drawn for, in seconds.
+/// The shortest duration of the time axis, in seconds: avoids a division by zero.
 const MIN_LENGTH: f64 = 0.001;
-/// The most steps of the axis.
+/// The maximum number of intervals between axis marks.
 const MAX_AXIS_STEPS: f64 = 12.0;
-/// What lies between two marks of the axis, in seconds: the first that gives few enough.
+/// The candidates for the interval between axis marks, in seconds. The first that does not exceed `MAX_AXIS_STEPS` is
+/// used.
 const AXIS_STEPS: [f64; 9] = [1.0, 2.0, 5.0, 10.0, 30.0, 60.0, 300.0, 900.0, 3_600.0];
-/// The same for longer times.
+/// The interval between axis marks if no candidate is long enough, in seconds.
 const LONGEST_AXIS_STEP: f64 = 14_400.0;
-/// The most characters of a label.
+/// The maximum number of characters in a label.
 const MAX_LABEL_LENGTH: usize = 25;
 
-/// Where a time since the beginning is on the axis; both in seconds.
+/// The x position of a time since the start of the axis. `time` and `length` are in seconds.
 fn axis_position(time: f64, length: f64) -> f64 {
     AXIS_LEFT + (WIDTH - AXIS_LEFT) * time / length.max(MIN_LENGTH)
 }
@@ -51,7 +52,7 @@
     }
 }
 
-/// When each trouble began and ended.
+/// Plots the timeline of incidents, from onset to end.
 pub(super) fn troubles(incident: &Incident) -> Markup {
     let length = seconds(incident.to.since(incident.from));
     let height = incident.troubles.len() as f64 * TROUBLE_ROW_HEIGHT + TROUBLE_ROW_HEIGHT;
@@ -77,14 +78,14 @@
     text.trim().chars().take(MAX_LABEL_LENGTH).collect()
 }
 
-/// A server's answer times, INVITEs and limit.
+/// Plots the answer times, the INVITE rate and the in-flight limit of a server.
 pub(super) fn server(name: &str, series: &ServerSeries, interval: Span, length: f64) -> Markup {
     let height = SERVER_PLOT_HEIGHT + AXIS_HEIGHT;
     let rates: Vec<Option<f64>> =
         series.invites.iter().map(|count| Some(count / seconds(interval))).collect();
-    let top_answer = highest(&series.answers, 0.5);
-    let top_rate = highest(&rates, 1.0);
-    let top_limit = highest(&series.limit, 1.0);
+    let top_answer = max_value(&series.answers, 0.5);
+    let top_rate = max_value(&rates, 1.0);
+    let top_limit = max_value(&series.limit, 1.0);
     html! {
         svg viewBox=(format!("0 0 {WIDTH} {height}")) role="img" aria-label=(format!("course of {name}")) {
             (axis(length, height))
@@ -99,12 +100,12 @@
     }
 }
 
-/// The highest of some values, and at least `least`.
-fn highest(values: &[Option<f64>], least: f64) -> f64 {
-    values.iter().flatten().copied().fold(least, f64::max)
+/// The maximum of `values`, or `minimum` if that is larger.
+fn max_value(values: &[Option<f64>], minimum: f64) -> f64 {
+    values.iter().flatten().copied().fold(minimum, f64::max)
 }
 
-/// A line through values up to `top`; a gap where there is none.
+/// Draws a line through the values, scaled so that `top` is at the top. A missing value leaves a gap.
 fn line(class: &str, values: &[Option<f64>], top: f64) -> Markup {
     let column_width = (WIDTH - AXIS_LEFT) / values.len().max(1) as f64;
     let mut path = String::new();
@@ -122,7 +123,7 @@
     html! { path class=(class) d=(path) {} }
 }
 
-/// When each front's incarnations wrote.
+/// Plots the time covered by the log of each front's incarnations.
 pub(super) fn incarnations(incident: &Incident) -> Markup {
     let length = seconds(incident.to.since(incident.from));
     let position = |time: Moment| axis_position(seconds(time.since(incident.from)), length);
--- a/crates/ochrelead-report/src/page/tables.rs
+++ b/crates/ochrelead-report/src/page/tables.rs
@@ -1,4 +1,4 @@
-//! The page's tables.
+//! Renders the tables of the page.
 
 use maud::{Markup, html};
 
@@ -10,7 +10,7 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// All troubles.
+/// The table of incidents.
 pub(super) fn troubles(incident: &Incident) -> Markup {
     let from = incident.from;
     html! {
@@ -32,7 +32,7 @@
     }
 }
 
-/// The share of sessions that were established, by service and by member.
+/// The share of sessions that were established, by service and by tenant.
 pub(super) fn service(series: &TimeSeries) -> Markup {
     html! {
         table {
@@ -56,12 +56,12 @@
     }
 }
 
-/// How often sessions were rejected, INVITEs failed and re-sends were granted, by cause.
+/// The numbers of rejected sessions, failed INVITEs and granted re-sends, by cause.
 pub(super) fn outcomes(series: &TimeSeries) -> Markup {
     let groups = [
-        ("given up", &series.denials),
-        ("INVITE ended", &series.endings),
-        ("re-send paid by", &series.payments),
+        ("given up", &series.rejections),
+        ("INVITE ended", &series.invite_failures),
+        ("re-send paid by", &series.resend_grants),
     ];
     html! {
         table {
@@ -74,7 +74,7 @@
     }
 }
 
-/// The fronts whose clocks were moved or whose events are not all there.
+/// The fronts whose clocks were corrected or whose events are incomplete.
 pub(super) fn clocks(incident: &Incident) -> Markup {
     let notable: Vec<&IncarnationSummary> =
         incident.incarnations.iter().filter(|summary| is_notable(summary)).collect();
@@ -114,7 +114,7 @@
     }
 }
 
-/// What of the logs could not be read.
+/// The parts of the logs that could not be read.
 pub(super) fn damage(incident: &Incident) -> Markup {
     let damage = &incident.damage;
     html! {
--- a/crates/ochrelead-report/src/survey.rs
+++ b/crates/ochrelead-report/src/survey.rs
@@ -1,4 +1,4 @@
-//! The first reading of some logs: what ties the fronts' clocks, and what there is of each front's incarnation.
+//! The first pass over the logs: estimates the clock offsets and summarizes the log of each front incarnation.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 
 const PARTS_PER_MILLION: f64 = 1e6;
 
-/// What the records of a front's incarnation cover, on the common clock.
+/// Summarizes the log of one front incarnation. Times are on the common clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IncarnationSummary {
     /// The incarnation.
@@ -21,29 +21,29 @@
     pub from: Moment,
     /// The time of its last event.
     pub to: Moment,
-    /// How far its clock was moved, in microseconds.
+    /// The clock offset at its first event, in microseconds. It is added to the front's times.
     pub clock_offset_us: i64,
-    /// How far off that may be; none where nothing ties its clock to the others'.
+    /// The bound on the error of the offset; `None` if no shared event relates its clock to others.
     pub clock_uncertainty: Option<Span>,
-    /// Microseconds that its clock was found to gain in a second.
+    /// The estimated drift of its clock: microseconds gained per second.
     pub clock_gain_us_per_s: f64,
-    /// How often its clock was set.
+    /// The number of clock steps.
     pub clock_steps: usize,
-    /// Events that it could not record, by its own count.
+    /// The number of events that the front reports as not recorded.
     pub lost_events: u64,
-    /// Sequence numbers of events that are missing: dropped segments, or cut out.
+    /// The number of events missing from the sequence without such a report, for example in dropped segments.
     pub missing_events: u64,
 }
 
-/// What the first reading finds.
+/// The results of the first pass.
 pub struct Survey {
-    /// The fronts' clocks.
+    /// The clock offsets.
     pub clocks: Clocks,
-    /// What there is of each incarnation.
+    /// The summary of each incarnation's log.
     pub incarnations: BTreeMap<FrontIncarnation, IncarnationSummary>,
 }
 
-/// The events of one incarnation, as far as they are read.
+/// The coverage of one incarnation's log, up to the last event read.
 struct Coverage {
     first: Event,
     last: Event,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Reads all logs once.
+/// Reads all logs and summarizes them.
 pub fn survey(logs: &[Log]) -> Survey {
     let mut estimator = ClockEstimator::default();
     let mut coverages: BTreeMap<FrontIncarnation, Coverage> = BTreeMap::new();
@@ -101,13 +101,14 @@
     Survey { clocks, incarnations }
 }
 
-/// The logs of some folders, with what is damaged about the folders.
+/// Opens the logs of the records folders. Returns them with the damage of the folders.
 pub(crate) fn open_folders(folders: &[PathBuf]) -> Result<(Vec<Log>, Damage), ReportError> {
     let mut logs = Vec::new();
     let mut damage = Damage::default();
     for folder in folders {
-        let (found, folder_damage) = open_logs(folder).map_err(|error| ReportError::io(folder, error))?;
-        logs.extend(found);
+        let (folder_logs, folder_damage) =
+            open_logs(folder).map_err(|error| ReportError::io(folder, error))?;
+        logs.extend(folder_logs);
         damage.merge(&folder_damage);
     }
     Ok((logs, damage))
--- a/crates/ochrelead-report/src/time_series.rs
+++ b/crates/ochrelead-report/src/time_series.rs
@@ -1,4 +1,4 @@
-//! What is plotted, in intervals of equal length, and what is counted over all of them.
+//! Counts and answer times per interval, for the plots, and totals over all intervals, for the tables.
 
 use std::collections::BTreeMap;
 
@@ -9,27 +9,27 @@
     Denial, Ended, Ending, GivenUp, Invite, Outlook, Stands, Taken, event::What,
 };
 
-/// The most intervals of a plot.
+/// The maximum number of intervals.
 const MAX_INTERVALS: u64 = 240;
 /// The shortest interval.
 const MIN_INTERVAL: Span = Span::from_millis(250);
-/// A session whose end is not in the records is forgotten after this.
+/// A session without an end in the records is dropped after this time.
 const SESSION_TIMEOUT: Span = Span::from_secs(600);
-/// The longest answer time that is told apart, in microseconds.
+/// The largest value of the answer time histogram, in microseconds. Longer answer times count as this value.
 const MAX_ANSWER_TIME_US: u64 = 600_000_000;
-/// Significant digits of an answer time.
+/// The significant digits of the answer time histogram.
 const ANSWER_TIME_DIGITS: u8 = 3;
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// One server by interval.
+/// The series of one server, with a value per interval.
 #[derive(Clone, Debug, Default)]
 pub struct ServerSeries {
-    /// INVITEs sent to it.
+    /// The number of INVITEs sent to the server.
     pub invites: Vec<f64>,
-    /// The median answer time, in seconds; none where no answer came.
+    /// The median answer time, in seconds; `None` without an answer.
     pub answers: Vec<Option<f64>>,
-    /// Its concurrency limit, the mean of all fronts.
+    /// The in-flight limit, averaged over the reports of all fronts; `None` without a report.
     pub limit: Vec<Option<f64>>,
 }
 
@@ -39,35 +39,35 @@
     }
 }
 
-/// How many sessions there were, and how many of them were established.
+/// Numbers of sessions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionCounts {
-    /// Sessions accepted.
+    /// The number of accepted sessions.
     pub accepted: u64,
-    /// Those that were established.
+    /// The number of accepted sessions that were established.
     pub established: u64,
 }
 
-/// All series, by server, and the counts of the whole.
+/// The series of all servers, and the totals.
 #[derive(Clone, Debug, Default)]
 pub struct TimeSeries {
     /// The length of an interval.
     pub interval: Span,
-    /// The beginning of the first interval.
+    /// The start of the first interval.
     pub from: Moment,
     /// The series of each server.
     pub servers: BTreeMap<String, ServerSeries>,
-    /// All sessions.
+    /// The total of sessions.
     pub sessions: SessionCounts,
-    /// Sessions rejected, by cause.
-    pub denials: BTreeMap<&'static str, u64>,
-    /// INVITEs that failed, by outcome.
-    pub endings: BTreeMap<&'static str, u64>,
-    /// Re-sends, by what granted them.
-    pub payments: BTreeMap<&'static str, u64>,
+    /// The number of rejected sessions, by cause.
+    pub rejections: BTreeMap<&'static str, u64>,
+    /// The number of failed INVITEs, by outcome.
+    pub invite_failures: BTreeMap<&'static str, u64>,
+    /// The number of re-sends, by the kind of their retry budget grant.
+    pub resend_grants: BTreeMap<&'static str, u64>,
     /// Sessions by service.
     pub services: BTreeMap<u32, SessionCounts>,
-    /// Sessions by member (0 is none).
+    /// Sessions by tenant; 0 counts sessions without a tenant.
     pub members: BTreeMap<u32, SessionCounts>,
     interval_count: usize,
     current_interval: usize,
@@ -75,7 +75,7 @@
     open_sessions: BTreeMap<String, OpenSession>,
 }
 
-/// What came of a server in the current interval: memory is the same for a second and for an hour.
+/// The samples of a server in the current interval. The histogram keeps memory independent of the interval's length.
 #[derive(Clone, Debug, Default)]
 struct ServerSamples {
     answers: Option<Histogram<u64>>,
@@ -83,7 +83,7 @@
     limit_count: f64,
 }
 
-/// A session whose end has not been seen.
+/// A session without an end so far.
 #[derive(Clone, Debug)]
 struct OpenSession {
     service: u32,
@@ -92,7 +92,7 @@
 }
 
 impl TimeSeries {
-    /// For records of that time.
+    /// Creates empty series for records between `from` and `to`.
     pub fn over(from: Moment, to: Moment) -> TimeSeries {
         let length = to.since(from);
         let interval = (length / MAX_INTERVALS).max(MIN_INTERVAL);
@@ -100,7 +100,7 @@
         TimeSeries { interval, from, interval_count, ..TimeSeries::default() }
     }
 
-    /// A record, in the order of the common clock.
+    /// Adds a record. Records must come in the order of the common clock.
     pub fn handle_record(&mut self, time: Moment, record: &Record) {
         self.advance_to(time);
         let Some(what) = &record.event.what else { return };
@@ -118,7 +118,7 @@
         }
     }
 
-    /// All records have come: the last interval is over too.
+    /// Closes the last interval. Call this after the last record.
     pub fn finish(&mut self) {
         self.close_interval();
         self.open_sessions.clear();
@@ -147,7 +147,7 @@
         self.server(&invite.server).invites[interval] += 1.0;
         let is_resend = invite.nth > 1;
         if is_resend {
-            *self.payments.entry(invite.payment().as_str_name()).or_default() += 1;
+            *self.resend_grants.entry(invite.payment().as_str_name()).or_default() += 1;
         }
     }
 
@@ -163,13 +163,13 @@
 
     fn on_ended(&mut self, ended: &Ended) {
         let name = Ending::try_from(ended.ending).map_or("UNKNOWN", |ending| ending.as_str_name());
-        *self.endings.entry(name).or_default() += 1;
+        *self.invite_failures.entry(name).or_default() += 1;
     }
 
     fn on_given_up(&mut self, given_up: &GivenUp) {
         self.open_sessions.remove(&given_up.tried);
         let name = Denial::try_from(given_up.denial).map_or("UNKNOWN", |denial| denial.as_str_name());
-        *self.denials.entry(name).or_default() += 1;
+        *self.rejections.entry(name).or_default() += 1;
     }
 
     fn on_outlook(&mut self, outlook: &Outlook) {
@@ -190,11 +190,11 @@
                 series.limit[interval] = Some(samples.limit_sum / samples.limit_count);
             }
         }
-        self.forget_old_sessions();
+        self.drop_old_sessions();
     }
 
-    /// Sessions that a killed front had have no end in the records.
-    fn forget_old_sessions(&mut self) {
+    /// Drops old sessions: those of a killed front have no end in the records.
+    fn drop_old_sessions(&mut self) {
         let current = self.current_interval;
         let interval_us = self.interval.micros().max(1);
         self.open_sessions.retain(|_, session| {
@@ -209,7 +209,7 @@
     }
 }
 
-/// Answer times in microseconds.
+/// An empty histogram of answer times in microseconds.
 fn answer_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_ANSWER_TIME_US, ANSWER_TIME_DIGITS).expect("these bounds are valid")
 }
