--- a/crates/ochrelead-report/tests/export.rs
+++ b/crates/ochrelead-report/tests/export.rs
@@ -1,4 +1,4 @@
-//! The table of all events: a row of each kind as stored.
+//! The exported Parquet table, compared with a stored table that has one row for each kind of event.
 
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_row_of_each_kind_is_the_stored_row() {
+fn exported_row_of_each_event_kind_equals_the_stored_row() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("export");
     let _ = fs::remove_dir_all(&folder);
     let mut recorder =
--- a/crates/ochrelead-report/tests/report.rs
+++ b/crates/ochrelead-report/tests/report.rs
@@ -1,4 +1,4 @@
-//! The page and the JSON of a small incident.
+//! The page and the JSON report of a small generated log.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -14,12 +14,12 @@
 use ochrelead_report::{json, page};
 use test_case::test_case;
 
-/// The records of two fronts, as they are written.
+/// Builds the records of two fronts.
 struct RecordsBuilder {
-    /// How far the second front's clock is off.
-    off_ms: i64,
-    /// When events of the second front are cut out.
-    cut: std::ops::Range<u64>,
+    /// How far the second front's clock is ahead, in milliseconds.
+    clock_offset_ms: i64,
+    /// The time in milliseconds during which events of the second front are missing.
+    missing_ms: std::ops::Range<u64>,
     sequences: [u64; 2],
     records: Vec<Record>,
 }
@@ -28,11 +28,11 @@
     fn push(&mut self, ms: u64, front: usize, what: What) {
         let sequence = self.sequences[front];
         self.sequences[front] += 1;
-        if front == 1 && self.cut.contains(&ms) {
+        if front == 1 && self.missing_ms.contains(&ms) {
             return;
         }
-        let off = if front == 1 { self.off_ms } else { 0 };
-        let at_us = (1_000_000 + ms).saturating_add_signed(off) * 1_000;
+        let offset_ms = if front == 1 { self.clock_offset_ms } else { 0 };
+        let at_us = (1_000_000 + ms).saturating_add_signed(offset_ms) * 1_000;
         self.records.push(Record {
             incarnation: FrontIncarnation { front: format!("f{front}"), started_us: 1 },
             event: Event { at_us, nth: sequence, what: Some(what) },
@@ -41,10 +41,9 @@
     }
 }
 
-/// Two fronts; one server crashes at 10 s and is back at 12 s. The second front's clock is off, and events of it
-/// may be cut out.
-fn records(off_ms: i64, cut: std::ops::Range<u64>) -> Vec<Record> {
-    let mut builder = RecordsBuilder { off_ms, cut, sequences: [0, 0], records: Vec::new() };
+/// The records of two fronts. Server s1 crashes at 10 s and restarts at 12 s; server s9 announces a start at 20 s.
+fn records(clock_offset_ms: i64, missing_ms: std::ops::Range<u64>) -> Vec<Record> {
+    let mut builder = RecordsBuilder { clock_offset_ms, missing_ms, sequences: [0, 0], records: Vec::new() };
     for session in 0..600_u64 {
         let (ms, front, server) = (session * 50, (session % 2) as usize, session / 2 % 2);
         let (tried, name) = (format!("{session:x}"), format!("s{server}"));
@@ -103,23 +102,23 @@
     Incident::from_logs(&logs, Damage::default())
 }
 
-#[test_case(0; "clocks that agree")]
-#[test_case(40_000; "one forty seconds fast")]
-#[test_case(-3_000; "one three seconds slow")]
-fn the_crash_is_found_whatever_the_clocks(off_ms: i64) {
-    let incident = incident(records(off_ms, 0..0));
-    let crash: Vec<_> = incident.troubles.iter().filter(|trouble| trouble.subject == "s1").collect();
-    assert_eq!(crash.len(), 1, "{:?}", incident.troubles);
-    let onset = crash[0].onset.since(incident.from).micros() / 1_000;
-    assert!((7_000..13_000).contains(&onset), "{onset}");
-    let moved: Vec<i64> =
+#[test_case(0; "with equal clocks")]
+#[test_case(40_000; "with one clock forty seconds fast")]
+#[test_case(-3_000; "with one clock three seconds slow")]
+fn crash_is_detected_despite_clock_offset(clock_offset_ms: i64) {
+    let incident = incident(records(clock_offset_ms, 0..0));
+    let crashes: Vec<_> = incident.troubles.iter().filter(|trouble| trouble.subject == "s1").collect();
+    assert_eq!(crashes.len(), 1, "{:?}", incident.troubles);
+    let onset_ms = crashes[0].onset.since(incident.from).micros() / 1_000;
+    assert!((7_000..13_000).contains(&onset_ms), "onset at {onset_ms} ms");
+    let offsets_ms: Vec<i64> =
         incident.incarnations.iter().map(|summary| summary.clock_offset_us / 1_000).collect();
-    let gap = moved[1] - moved[0];
-    assert!((gap + off_ms).abs() <= 100, "{moved:?}");
+    let difference_ms = offsets_ms[1] - offsets_ms[0];
+    assert!((difference_ms + clock_offset_ms).abs() <= 100, "{offsets_ms:?}");
 }
 
 #[test]
-fn what_was_cut_out_is_counted() {
+fn missing_events_are_counted_and_shown() {
     let incident = incident(records(0, 15_000..18_000));
     let missing: Vec<u64> = incident.incarnations.iter().map(|summary| summary.missing_events).collect();
     assert!(missing[0] == 0 && missing[1] > 50, "{missing:?}");
@@ -127,10 +126,10 @@
 }
 
 #[test]
-fn the_page_stands_alone_and_tells_the_story() {
+fn page_is_self_contained_and_describes_the_crash() {
     let page = page::render(&incident(records(0, 0..0)));
-    for elsewhere in ["http:", "https:", "<script", "src=", "@import", "url("] {
-        assert!(!page.contains(elsewhere), "{elsewhere}");
+    for external in ["http:", "https:", "<script", "src=", "@import", "url("] {
+        assert!(!page.contains(external), "{external}");
     }
     for expected in
         ["crashed and started anew", "s1", "prefers-color-scheme: dark", "width=device-width", "stands at s"]
@@ -140,7 +139,7 @@
 }
 
 #[test]
-fn a_quiet_course_is_said_to_be_one() {
+fn log_without_a_fault_yields_no_incidents() {
     let quiet = records(0, 0..0).into_iter().filter(|record| record.event.at_us < 1_009_000_000).collect();
     let incident = incident(quiet);
     assert!(page::render(&incident).contains("Nothing was wrong that these records show."));
@@ -148,7 +147,7 @@
 }
 
 #[test]
-fn a_folder_that_is_not_there_is_one_line_and_exit_two() {
+fn missing_folder_exits_with_2_and_empty_folder_succeeds() {
     let run = Command::new(env!("CARGO_BIN_EXE_ochrelead-report")).arg("nowhere").output().unwrap();
     let message = String::from_utf8(run.stderr).unwrap();
     assert!(run.status.code() == Some(2) && message.starts_with("ochrelead-report: nowhere: "), "{message}");
@@ -164,21 +163,21 @@
     fs::read_to_string(path).unwrap()
 }
 
-/// Machines read the JSON: its keys and values are those of an earlier program.
+/// Tools read the JSON report, so its keys and values must not change.
 #[test]
-fn json_of_a_small_log_is_the_stored_text() {
+fn json_of_a_small_log_equals_the_stored_text() {
     let written = format!("{:#}\n", json::render(&incident(records(40_000, 15_000..18_000))));
     assert_eq!(written, stored("small-log.json"));
 }
 
 #[test]
-fn page_of_a_small_log_is_the_stored_page() {
+fn page_of_a_small_log_equals_the_stored_page() {
     let written = page::render(&incident(records(40_000, 15_000..18_000)));
     assert_eq!(written, stored("small-log.html"));
 }
 
 #[test]
-fn json_names_each_kind_of_trouble_as_stored() {
+fn json_of_each_incident_kind_equals_the_stored_text() {
     let mut incident = incident(records(0, 0..0));
     let kinds = [
         TroubleKind::Slow,
