--- a/crates/ochrelead-console/src/fleet_view.rs
+++ b/crates/ochrelead-console/src/fleet_view.rs
@@ -1,4 +1,4 @@
-//! What is known of the fleet, fed with records as they arrive.
+//! The current state of the fleet, updated by records as they arrive.
 
 use std::collections::BTreeMap;
 
@@ -13,12 +13,12 @@
 use crate::server_view::ServerView;
 use crate::session_steps::SessionSteps;
 
-/// A front that has written nothing for so long counts as gone, and its reports are not used.
+/// A front that has written no record for this time counts as gone, and its reports are ignored.
 pub const FRONT_TIMEOUT: Span = Span::from_secs(3);
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// What is known of the fleet.
+/// The current state of the fleet.
 #[derive(Default)]
 pub struct FleetView {
     queue: RecordQueue,
@@ -26,6 +26,7 @@
     current_second: u64,
     diagnosis: Diagnosis,
     servers: BTreeMap<String, ServerView>,
+    /// The time of each front's last record.
     fronts: BTreeMap<String, Moment>,
     accepted: RateSeries,
     established: RateSeries,
@@ -34,12 +35,14 @@
 }
 
 impl FleetView {
-    /// A record has arrived. It is looked at by [`FleetView::process`], in its turn.
+    /// Queues a record. [`FleetView::process`] applies it once its order among the records of other fronts is
+    /// settled.
     pub fn handle_record(&mut self, record: Record) {
         self.queue.push(record);
     }
 
-    /// Looks at all records whose order is settled. `idle` is for how long nothing has arrived: time goes on with it.
+    /// Applies all records whose order is settled. `idle` is the time since the last record arrived; the common clock
+    /// advances by it.
     pub fn process(&mut self, idle: Span) {
         let until = self.queue.settled_until(idle);
         while let Some(record) = self.queue.pop_until(until) {
@@ -54,7 +57,7 @@
         self.evaluate_servers();
     }
 
-    /// The time, on the common clock, up to which everything is known.
+    /// The time on the common clock up to which all records are applied.
     pub fn now(&self) -> Moment {
         self.now
     }
@@ -64,43 +67,43 @@
         &self.servers
     }
 
-    /// Fronts that have ever written.
+    /// The number of fronts that have written a record.
     pub fn front_count(&self) -> usize {
         self.fronts.len()
     }
 
-    /// Fronts that have written lately.
+    /// The number of fronts that have written a record within [`FRONT_TIMEOUT`].
     pub fn active_front_count(&self) -> usize {
         self.fronts.values().filter(|last_write| self.now.since(**last_write) < FRONT_TIMEOUT).count()
     }
 
-    /// Sessions accepted, by second.
+    /// The number of accepted sessions per second.
     pub fn accepted(&self) -> &RateSeries {
         &self.accepted
     }
 
-    /// Sessions established, by second.
+    /// The number of established sessions per second.
     pub fn established(&self) -> &RateSeries {
         &self.established
     }
 
-    /// Sessions rejected, by second.
+    /// The number of rejected sessions per second.
     pub fn rejected(&self) -> &RateSeries {
         &self.rejected
     }
 
-    /// Troubles that last, the oldest first.
+    /// Ongoing incidents, the oldest first.
     pub fn ongoing_troubles(&self) -> Vec<Trouble> {
         self.diagnosis.troubles().into_iter().filter(|trouble| trouble.end.is_none()).collect()
     }
 
-    /// Troubles that are over, the newest first.
+    /// Past incidents, the newest first.
     pub fn past_troubles(&self) -> Vec<Trouble> {
         let troubles = self.diagnosis.troubles().into_iter().rev();
         troubles.filter(|trouble| trouble.end.is_some()).collect()
     }
 
-    /// The steps, as lines, of the newest sessions that concern `subject`: a server, or one session.
+    /// Lists the steps of the newest sessions that involve `subject`, a server or a session. One line per step.
     pub fn describe_sessions(&self, subject: &str) -> Vec<String> {
         self.session_steps.describe(subject, self.now)
     }
@@ -156,7 +159,7 @@
     }
 }
 
-/// The session that an event is a step of, and the step as text.
+/// The session of an event and a description of the step; `None` if the event belongs to no session.
 fn describe_step(what: &What) -> Option<(&str, String)> {
     let (session, step) = match what {
         What::Taken(taken) => (&taken.tried, format!("taken, to {}", taken.called)),
--- a/crates/ochrelead-console/src/lib.rs
+++ b/crates/ochrelead-console/src/lib.rs
@@ -1,10 +1,11 @@
-//! The fleet as it is now, from event logs that grow.
+//! Live view of the fleet, from event logs that are being written.
 //!
-//! - [`fleet_view`]: what is known of servers, fronts and sessions, fed with records; free of I/O and clocks.
-//! - [`server_view`]: what is known of one server, and its state.
-//! - [`record_queue`]: puts the fronts' records into one order on a common clock.
-//! - [`rate_series`]: counts by second, for the plots; [`session_steps`]: the latest steps of sessions.
-//! - [`screen`]: the fleet on a terminal; [`text`]: the same as text.
+//! - [`fleet_view`]: the current state of servers, fronts and sessions. Updated by records; does no I/O, reads no
+//!   clock.
+//! - [`server_view`]: the current state of one server.
+//! - [`record_queue`]: orders the records of all fronts by a common clock.
+//! - [`rate_series`]: event counts per second, for the plots; [`session_steps`]: the latest events of sessions.
+//! - [`screen`]: draws the fleet on a terminal; [`text`]: renders it as text.
 
 pub mod fleet_view;
 pub mod rate_series;
--- a/crates/ochrelead-console/src/main.rs
+++ b/crates/ochrelead-console/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `ochrelead-console`.
+//! The program `ochrelead-console`: shows the current state of the fleet.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -14,23 +14,24 @@
 use ratatui::DefaultTerminal;
 use ratatui::crossterm::event::{self, Event, KeyCode};
 
-/// Shows the fleet now, from records that grow. It reads files alone and never slows a front.
+/// Shows the current state of the fleet from its event logs. It only reads files and never delays a front.
 #[derive(Parser)]
 #[command(version, after_help = "Examples:\n  ochrelead-console records\n  ochrelead-console records --once")]
 struct Arguments {
-    /// Folders of records
+    /// Records folders of the fronts
     #[arg(required = true, value_name = "DIR")]
     folders: Vec<PathBuf>,
-    /// Print what is known now as text, and end
+    /// Print the current state as text and exit
     #[arg(long)]
     once: bool,
 }
 
-/// How often the logs are read, and the longest wait for a key.
+/// The interval between reads of the logs, and the longest wait for a key.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// The time that counts as passed since the last record where the fleet is printed once.
+/// With `--once`: the time assumed to have passed since the last record. It exceeds the reorder delay of the record
+/// queue, so that all records are processed.
 const IDLE_BEFORE_PRINT: Span = Span::from_secs(1);
-/// The exit code where a log can't be read or the terminal fails.
+/// The exit code if a log can't be read or the terminal fails.
 const EXIT_FAILED: u8 = 2;
 
 fn main() -> ExitCode {
@@ -59,7 +60,7 @@
     result
 }
 
-/// A folder of records and how far it is read.
+/// A records folder, with the position up to which it has been read.
 struct FollowedFolder {
     path: PathBuf,
     follower: Follower,
@@ -71,20 +72,23 @@
     }
 }
 
-/// Hands all new records to the fleet; whether there were any.
+/// Passes all new records to `fleet`. Returns whether there were any.
 fn read_new_records(logs: &mut [FollowedFolder], fleet: &mut FleetView) -> anyhow::Result<bool> {
-    let mut any = false;
+    let mut has_new = false;
     for FollowedFolder { path, follower } in logs {
         let mut handle_record = |record| {
-            any = true;
+            has_new = true;
             fleet.handle_record(record);
         };
-        while follower.read_new(&mut handle_record).with_context(|| path.display().to_string())? {}
+        while follower
+            .read_new(&mut handle_record)
+            .with_context(|| format!("reading records in {}", path.display()))?
+        {}
     }
-    Ok(any)
+    Ok(has_new)
 }
 
-/// Shows the fleet until the user ends it.
+/// Shows the fleet until the user quits.
 fn show(
     terminal: &mut DefaultTerminal,
     logs: &mut [FollowedFolder],
--- a/crates/ochrelead-console/src/rate_series.rs
+++ b/crates/ochrelead-console/src/rate_series.rs
@@ -1,23 +1,23 @@
-//! Counts by second, for the plots.
+//! Event counts per second, for the plots.
 
 use std::collections::VecDeque;
 
-/// The seconds that a series keeps.
+/// The number of seconds that a series keeps.
 pub const SECONDS_KEPT: usize = 180;
 
-/// Counts by second, the newest last.
+/// Event counts per second, in the order of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RateSeries {
     counts: VecDeque<u64>,
 }
 
 impl RateSeries {
-    /// Begins a second.
+    /// Starts a new second with count zero.
     pub(crate) fn begin_second(&mut self) {
         self.counts.push_back(0);
     }
 
-    /// Begins as many seconds as have passed, and forgets the oldest.
+    /// Starts as many seconds as have passed, and drops the oldest ones beyond [`SECONDS_KEPT`].
     pub(crate) fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds.min(SECONDS_KEPT as u64) {
             self.begin_second();
@@ -26,29 +26,29 @@
         self.counts.drain(..surplus);
     }
 
-    /// Counts one in the newest second; nothing before the first second has begun.
+    /// Counts an event in the newest second. Has no effect before the first second has started.
     pub(crate) fn increment(&mut self) {
         if let Some(newest) = self.counts.back_mut() {
             *newest += 1;
         }
     }
 
-    /// Whether no second has begun.
+    /// Whether no second has started.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
 
-    /// The highest count of a second.
+    /// The highest count of all seconds.
     pub fn peak(&self) -> u64 {
         self.counts.iter().max().copied().unwrap_or(0)
     }
 
-    /// The counts of the newest seconds, the newest last.
+    /// The counts of the newest `seconds`, in the order of time.
     pub fn latest(&self, seconds: usize) -> Vec<u64> {
         self.counts.iter().copied().skip(self.counts.len().saturating_sub(seconds)).collect()
     }
 
-    /// The average count of the newest `seconds` that are over.
+    /// The mean count of the newest `seconds` that are complete.
     pub fn average(&self, seconds: usize) -> f64 {
         let complete = self.counts.iter().rev().skip(1).take(seconds);
         complete.sum::<u64>() as f64 / seconds as f64
--- a/crates/ochrelead-console/src/screen.rs
+++ b/crates/ochrelead-console/src/screen.rs
@@ -1,4 +1,4 @@
-//! The fleet on a terminal.
+//! Draws the fleet on a terminal.
 
 use ratatui::Frame;
 use ratatui::layout::{Constraint, Layout, Rect};
@@ -11,40 +11,40 @@
 use crate::server_view::ServerState;
 use crate::text;
 
-/// Rows or columns that a block's border takes.
+/// The number of rows or columns that the border of a block takes.
 const BORDER: u16 = 2;
-/// The fewest rows of the list in the middle.
+/// The minimum height of the list of incidents or sessions, in rows.
 const LIST_MIN_HEIGHT: u16 = 4;
-/// Rows of a plot.
+/// The height of a plot, in rows.
 const PLOT_HEIGHT: u16 = 4;
 
-/// What the user has chosen to see.
+/// The user's selection.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ScreenState {
-    /// The selected server, as its position in the list.
+    /// The index of the selected server in the list.
     pub selected: usize,
-    /// Whether the selected server's sessions are shown in place of the troubles.
+    /// Whether the sessions of the selected server are shown instead of the incidents.
     pub sessions_open: bool,
 }
 
 impl ScreenState {
-    /// Selects the server above.
+    /// Selects the previous server in the list.
     pub fn select_previous(&mut self) {
         self.selected = self.selected.saturating_sub(1);
     }
 
-    /// Selects the server below, of `server_count`.
+    /// Selects the next server in the list, which has `server_count` servers.
     pub fn select_next(&mut self, server_count: usize) {
         self.selected = (self.selected + 1).min(server_count.saturating_sub(1));
     }
 
-    /// Shows the selected server's sessions, or the troubles again.
+    /// Switches between the sessions of the selected server and the incidents.
     pub fn toggle_sessions(&mut self) {
         self.sessions_open = !self.sessions_open;
     }
 }
 
-/// Draws everything.
+/// Draws the whole screen.
 pub fn draw(frame: &mut Frame<'_>, fleet: &FleetView, state: &ScreenState) {
     let [servers, list, accepted, established, rejected, help] = Layout::vertical([
         Constraint::Length(fleet.servers().len() as u16 + BORDER),
@@ -68,9 +68,9 @@
 
 fn draw_servers(frame: &mut Frame<'_>, area: Rect, fleet: &FleetView, selected: usize) {
     let mut lines = Vec::new();
-    for (position, (name, server)) in fleet.servers().iter().enumerate() {
+    for (index, (name, server)) in fleet.servers().iter().enumerate() {
         let mut style = Style::new().fg(state_color(server.state()));
-        if position == selected {
+        if index == selected {
             style = style.add_modifier(Modifier::REVERSED);
         }
         lines.push(Line::styled(text::describe_server(name, server, fleet.now()), style));
--- a/crates/ochrelead-console/src/server_view.rs
+++ b/crates/ochrelead-console/src/server_view.rs
@@ -1,4 +1,4 @@
-//! What is known of one server, and its state.
+//! The current state of one server.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,26 +10,26 @@
 use crate::fleet_view::FRONT_TIMEOUT;
 use crate::rate_series::RateSeries;
 
-/// The state of a server: the worst trouble there, else what the fronts' controllers make of it.
+/// The state of a server, derived from the ongoing incident at the server or else from the reports of the fronts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// Nothing is wrong.
+    /// No problem is known.
     #[default]
     Healthy,
-    /// It has started lately and is in slow start.
+    /// It started recently and is in slow start.
     WarmingUp,
     /// It answers late.
     Slow,
-    /// Answers of it get lost.
+    /// Its answers are partly lost.
     AnswersLost,
     /// More than half of the fronts have ejected it.
     Ejected,
-    /// Nothing is heard of it.
+    /// No front hears from it.
     Silent,
 }
 
 impl ServerState {
-    /// The state as shown.
+    /// The label shown to the user. Stable: scripts may read it.
     pub fn label(self) -> &'static str {
         match self {
             ServerState::Healthy => "well",
@@ -48,7 +48,7 @@
     }
 }
 
-/// What one front's controller last reported of a server.
+/// The last report of a front's controller on a server.
 #[derive(Clone, Debug, PartialEq)]
 struct FrontReport {
     time: Moment,
@@ -57,10 +57,11 @@
     ejected: bool,
 }
 
-/// A server now.
+/// The current state of a server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerView {
     invites: RateSeries,
+    /// The last report of each front.
     reports: BTreeMap<String, FrontReport>,
     answer_time: Span,
     limit: f64,
@@ -77,42 +78,42 @@
         self.state
     }
 
-    /// Since when it is in that state: the onset of the trouble, where there is one.
+    /// The start of the current state: the onset of the incident if there is one.
     pub fn state_since(&self) -> Option<Moment> {
         self.state_since
     }
 
-    /// INVITEs sent to it, by second.
+    /// The number of INVITEs sent to it per second.
     pub fn invites(&self) -> &RateSeries {
         &self.invites
     }
 
-    /// The median of the fronts' answer times.
+    /// The median of the answer times that the fronts report.
     pub fn answer_time(&self) -> Span {
         self.answer_time
     }
 
-    /// The average of the fronts' concurrency limits.
+    /// The mean of the in-flight limits that the fronts report.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Its free lines, as last reported.
+    /// The number of its free lines in the last report.
     pub fn free_lines(&self) -> u32 {
         self.free_lines
     }
 
-    /// All its lines, as last reported.
+    /// The number of all its lines in the last report.
     pub fn total_lines(&self) -> u32 {
         self.total_lines
     }
 
-    /// Seconds have passed.
+    /// Advances the time by `seconds`.
     pub(crate) fn advance(&mut self, seconds: u64) {
         self.invites.advance(seconds);
     }
 
-    /// An INVITE was sent to it.
+    /// Counts an INVITE sent to the server.
     pub(crate) fn on_invite(&mut self) {
         if self.invites.is_empty() {
             self.invites.begin_second();
@@ -120,7 +121,7 @@
         self.invites.increment();
     }
 
-    /// A front's controller has reported its view of the server.
+    /// Applies the periodic report of a front's controller on the server.
     pub(crate) fn on_report(&mut self, time: Moment, front: &str, outlook: &Outlook) {
         self.free_lines = outlook.free;
         self.total_lines = outlook.lines;
@@ -134,7 +135,7 @@
         self.reports.insert(front.to_owned(), report);
     }
 
-    /// Works out state, limit and answer time anew; `trouble` is the oldest that lasts at the server.
+    /// Updates state, limit and answer time. `trouble` is the oldest ongoing incident at the server.
     pub(crate) fn evaluate(&mut self, now: Moment, trouble: Option<&Trouble>) {
         let current: Vec<&FrontReport> =
             self.reports.values().filter(|report| now.since(report.time) < FRONT_TIMEOUT).collect();
@@ -142,14 +143,14 @@
         let limit = limits.sum::<f64>() / current.len().max(1) as f64;
         let answer_time = median(current.iter().map(|report| report.answer_time).collect());
         let ejections = current.iter().filter(|report| report.ejected).count();
-        let mostly_ejected = ejections * 2 > current.len();
+        let is_mostly_ejected = ejections * 2 > current.len();
 
         let state = match trouble.map(|trouble| trouble.kind) {
             Some(TroubleKind::Silent) => ServerState::Silent,
             Some(TroubleKind::Slow) => ServerState::Slow,
             Some(TroubleKind::AnswersLost) => ServerState::AnswersLost,
             _ if self.warming_up => ServerState::WarmingUp,
-            _ if mostly_ejected => ServerState::Ejected,
+            _ if is_mostly_ejected => ServerState::Ejected,
             _ => ServerState::Healthy,
         };
         if state != self.state || self.state_since.is_none() {
@@ -161,7 +162,7 @@
     }
 }
 
-/// The median, the upper one of an even number; zero of none.
+/// The median; the upper median of an even number of spans, and zero if there are none.
 fn median(mut spans: Vec<Span>) -> Span {
     spans.sort_unstable();
     spans.get(spans.len() / 2).copied().unwrap_or_default()
--- a/crates/ochrelead-console/src/session_steps.rs
+++ b/crates/ochrelead-console/src/session_steps.rs
@@ -1,12 +1,12 @@
-//! The latest steps of sessions.
+//! The latest steps of all sessions. A step is an event of a session, for example an INVITE or its answer.
 
 use std::collections::VecDeque;
 
 use ochrelead_core::time::{Moment, Span};
 
-/// Steps that are kept.
+/// The maximum number of steps that are kept.
 const STEPS_KEPT: usize = 4_000;
-/// The newest steps whose sessions are shown.
+/// The number of newest steps whose sessions are shown.
 const STEPS_SHOWN: usize = 8;
 
 #[derive(Clone, Debug)]
@@ -16,14 +16,14 @@
     description: String,
 }
 
-/// The latest steps of all sessions, the oldest first.
+/// The latest steps of all sessions, in the order of time.
 #[derive(Clone, Debug, Default)]
 pub struct SessionSteps {
     steps: VecDeque<SessionStep>,
 }
 
 impl SessionSteps {
-    /// Adds a step, and forgets the oldest where there are too many.
+    /// Adds a step, and drops the oldest one if there are more than `STEPS_KEPT`.
     pub(crate) fn push(&mut self, session: &str, time: Moment, description: String) {
         self.steps.push_back(SessionStep { session: session.to_owned(), time, description });
         if self.steps.len() > STEPS_KEPT {
@@ -31,15 +31,15 @@
         }
     }
 
-    /// The steps, as lines, of the newest sessions that concern `subject`: a server, or one session.
+    /// Lists the steps of the newest sessions that involve `subject`, a server or a session. One line per step.
     pub fn describe(&self, subject: &str, now: Moment) -> Vec<String> {
-        let concerns_subject =
+        let involves_subject =
             |step: &&SessionStep| step.session == subject || step.description.contains(subject);
         let newest: Vec<&str> = self
             .steps
             .iter()
             .rev()
-            .filter(concerns_subject)
+            .filter(involves_subject)
             .take(STEPS_SHOWN)
             .map(|step| step.session.as_str())
             .collect();
--- a/crates/ochrelead-console/src/text.rs
+++ b/crates/ochrelead-console/src/text.rs
@@ -1,4 +1,4 @@
-//! The fleet as text, for a pipe.
+//! Renders the fleet as text.
 
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_diagnosis::trouble::Trouble;
@@ -6,12 +6,12 @@
 use crate::fleet_view::FleetView;
 use crate::server_view::ServerView;
 
-/// Past troubles that are printed.
-const PAST_TROUBLES_SHOWN: usize = 10;
-/// Seconds over which a server's INVITEs are averaged.
+/// The number of past incidents that are printed.
+const PAST_INCIDENTS_SHOWN: usize = 10;
+/// The number of seconds over which the INVITE rate of a server is averaged.
 const INVITE_RATE_SECONDS: usize = 5;
 
-/// The whole fleet, a line for each server and each trouble.
+/// Renders the whole fleet, one line for each server and each incident.
 pub fn render(fleet: &FleetView) -> String {
     let now = fleet.now();
     let mut lines = vec![format!("{} of {} fronts write", fleet.active_front_count(), fleet.front_count())];
@@ -24,13 +24,13 @@
     for trouble in &ongoing {
         lines.push(format!("  {}", describe_trouble(trouble, now)));
     }
-    for trouble in fleet.past_troubles().iter().take(PAST_TROUBLES_SHOWN) {
+    for trouble in fleet.past_troubles().iter().take(PAST_INCIDENTS_SHOWN) {
         lines.push(format!("  passed: {}", describe_trouble(trouble, now)));
     }
     lines.join("\n") + "\n"
 }
 
-/// A trouble as one line, with how long ago it began.
+/// Describes an incident in one line, with the time since its onset.
 pub(crate) fn describe_trouble(trouble: &Trouble, now: Moment) -> String {
     let age = seconds(now.since(trouble.onset));
     let subject = if trouble.subject.is_empty() { "the fleet" } else { &trouble.subject };
@@ -41,7 +41,7 @@
     format!("{age:.0} s ago, {duration}: {subject}: {}: {}", trouble.kind.name(), trouble.evidence)
 }
 
-/// A server as one line.
+/// Describes a server in one line.
 pub(crate) fn describe_server(name: &str, server: &ServerView, now: Moment) -> String {
     let state_age = server.state_since().map_or(0.0, |since| seconds(now.since(since)));
     format!(
