--- a/crates/ochrelead-console/src/server_view.rs
+++ b/crates/ochrelead-console/src/server_view.rs
@@ -122,17 +122,17 @@
     }
 
     /// Applies the periodic report of a front's controller on the server.
-    pub(crate) fn on_report(&mut self, time: Moment, front: &str, outlook: &Outlook) {
-        self.free_lines = outlook.free;
-        self.total_lines = outlook.lines;
-        self.warming_up = outlook.fresh;
-        let report = FrontReport {
+    pub(crate) fn on_report(&mut self, time: Moment, front: &str, report: &Outlook) {
+        self.free_lines = report.free;
+        self.total_lines = report.lines;
+        self.warming_up = report.fresh;
+        let front_report = FrontReport {
             time,
-            limit: outlook.limit,
-            answer_time: Span::from_micros(outlook.answer_us),
-            ejected: outlook.sick,
+            limit: report.limit,
+            answer_time: Span::from_micros(report.answer_us),
+            ejected: report.sick,
         };
-        self.reports.insert(front.to_owned(), report);
+        self.reports.insert(front.to_owned(), front_report);
     }
 
     /// Updates state, limit and answer time. `trouble` is the oldest ongoing incident at the server.
--- a/crates/ochrelead-diagnosis/tests/diagnosis.rs
+++ b/crates/ochrelead-diagnosis/tests/diagnosis.rs
@@ -141,7 +141,7 @@
         }
         for second in 0..DURATION_MS / 1_000 {
             for front in 0..FRONTS {
-                log.outlooks(second * 1_000 + front * 10, front, fault, (from, to));
+                log.write_server_reports(second * 1_000 + front * 10, front, fault, (from, to));
             }
         }
         match fault {
@@ -170,7 +170,7 @@
     }
 
     /// Adds a front's periodic report of all servers, with the time since it last heard from each.
-    fn outlooks(&mut self, ms: u64, front: u64, fault: Fault, (from, to): (u64, u64)) {
+    fn write_server_reports(&mut self, ms: u64, front: u64, fault: Fault, (from, to): (u64, u64)) {
         for server in 0..SERVERS {
             let is_unheard = match fault {
                 Fault::Silent(affected) | Fault::Crash(affected) => affected == server,
@@ -295,7 +295,7 @@
 
 #[test]
 fn clocks_without_a_shared_event_are_reported_as_unrelated() {
-    let told = |front: &str, ms: u64, server: &str| {
+    let announcement = |front: &str, ms: u64, server: &str| {
         let what = What::Told(Told { server: server.to_owned(), what: "started".to_owned() });
         Record {
             incarnation: incarnation_of(front),
@@ -303,7 +303,12 @@
             unknown_fields: 0,
         }
     };
-    let records = [told("f0", 5, "s0"), told("f1", 9, "s0"), told("f2", 700, "s9"), told("f3", 800, "s9")];
+    let records = [
+        announcement("f0", 5, "s0"),
+        announcement("f1", 9, "s0"),
+        announcement("f2", 700, "s9"),
+        announcement("f3", 800, "s9"),
+    ];
     let clocks = Clocks::from_records(records.iter());
     assert_eq!(clocks.initial_offset(&incarnation_of("f1")).offset_us.abs(), 4_000);
     assert_eq!(clocks.unrelated().len(), 2, "one per group of fronts without a shared event");
--- a/crates/ochrelead-report/src/page/tables.rs
+++ b/crates/ochrelead-report/src/page/tables.rs
@@ -40,8 +40,8 @@
             @for (service, counts) in &series.services {
                 tr { td { "service " (service + 1) } (session_cells(*counts)) }
             }
-            @for (member, counts) in &series.members {
-                tr { td { @if *member == 0 { "no member" } @else { "member " (member) } } (session_cells(*counts)) }
+            @for (tenant, counts) in &series.tenants {
+                tr { td { @if *tenant == 0 { "no member" } @else { "member " (tenant) } } (session_cells(*counts)) }
             }
         }
     }
--- a/crates/ochrelead-report/src/time_series.rs
+++ b/crates/ochrelead-report/src/time_series.rs
@@ -68,7 +68,7 @@
     /// Sessions by service.
     pub services: BTreeMap<u32, SessionCounts>,
     /// Sessions by tenant; 0 counts sessions without a tenant.
-    pub members: BTreeMap<u32, SessionCounts>,
+    pub tenants: BTreeMap<u32, SessionCounts>,
     interval_count: usize,
     current_interval: usize,
     samples: BTreeMap<String, ServerSamples>,
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug)]
 struct OpenSession {
     service: u32,
-    member: u32,
+    tenant: u32,
     interval: usize,
 }
 
@@ -113,7 +113,7 @@
             What::HungUp(hung_up) => {
                 self.open_sessions.remove(&hung_up.tried);
             }
-            What::Outlook(outlook) => self.on_outlook(outlook),
+            What::Outlook(outlook) => self.on_server_report(outlook),
             _ => {}
         }
     }
@@ -135,11 +135,11 @@
 
     fn on_taken(&mut self, taken: &Taken) {
         let session =
-            OpenSession { service: taken.service, member: taken.member, interval: self.current_interval };
+            OpenSession { service: taken.service, tenant: taken.member, interval: self.current_interval };
         self.open_sessions.insert(taken.tried.clone(), session);
         self.sessions.accepted += 1;
         self.services.entry(taken.service).or_default().accepted += 1;
-        self.members.entry(taken.member).or_default().accepted += 1;
+        self.tenants.entry(taken.member).or_default().accepted += 1;
     }
 
     fn on_invite(&mut self, invite: &Invite) {
@@ -157,7 +157,7 @@
         samples.answers.get_or_insert_with(answer_histogram).saturating_record(stands.took_us.max(1));
         if let Some(session) = self.open_sessions.remove(&stands.tried) {
             self.services.entry(session.service).or_default().established += 1;
-            self.members.entry(session.member).or_default().established += 1;
+            self.tenants.entry(session.tenant).or_default().established += 1;
         }
     }
 
@@ -172,10 +172,10 @@
         *self.rejections.entry(name).or_default() += 1;
     }
 
-    fn on_outlook(&mut self, outlook: &Outlook) {
-        self.server(&outlook.server);
-        let samples = self.samples.entry(outlook.server.clone()).or_default();
-        samples.limit_sum += outlook.limit;
+    fn on_server_report(&mut self, report: &Outlook) {
+        self.server(&report.server);
+        let samples = self.samples.entry(report.server.clone()).or_default();
+        samples.limit_sum += report.limit;
         samples.limit_count += 1.0;
     }
 
