--- a/crates/ochrelead-report/src/incident.rs
+++ b/crates/ochrelead-report/src/incident_report.rs
@@ -16,7 +16,7 @@
 use crate::time_series::TimeSeries;
 
 /// The contents of a report on one or more event logs.
-pub struct Incident {
+pub struct IncidentReport {
     /// The time of the first event.
     pub from: Moment,
     /// The time of the last event.
@@ -38,19 +38,19 @@
     pub unsynchronized: Vec<FrontIncarnation>,
 }
 
-impl Incident {
+impl IncidentReport {
     /// Reads the event logs of the records folders.
     ///
     /// # Errors
     ///
     /// If a folder can't be read.
-    pub fn read(folders: &[PathBuf]) -> Result<Incident, ReportError> {
+    pub fn read(folders: &[PathBuf]) -> Result<IncidentReport, ReportError> {
         let (logs, damage) = open_folders(folders)?;
-        Ok(Incident::from_logs(&logs, damage))
+        Ok(IncidentReport::from_logs(&logs, damage))
     }
 
     /// Gathers the report from logs. `damage` is the damage found while opening them.
-    pub fn from_logs(logs: &[Log], mut damage: Damage) -> Incident {
+    pub fn from_logs(logs: &[Log], mut damage: Damage) -> IncidentReport {
         let Survey { clocks, incarnations } = survey(logs);
         let from = incarnations.values().map(|summary| summary.from).min().unwrap_or(Moment::START);
         let to = incarnations.values().map(|summary| summary.to).max().unwrap_or(from);
@@ -72,7 +72,7 @@
             MergedLog::new(logs.to_vec(), &clocks)
                 .for_each(|(time, record)| longest.collect_step(time, &record));
         }
-        Incident {
+        IncidentReport {
             from,
             to,
             events,
--- a/crates/ochrelead-report/src/json.rs
+++ b/crates/ochrelead-report/src/json.rs
@@ -4,22 +4,22 @@
 use ochrelead_diagnosis::trouble::Trouble;
 use serde_json::{Value, json};
 
-use crate::incident::Incident;
+use crate::incident_report::IncidentReport;
 use crate::survey::IncarnationSummary;
 
 /// Renders incidents, clock offsets and gaps in the logs. Times are in microseconds since 1970 on the common clock.
-pub fn render(incident: &Incident) -> Value {
-    let troubles: Vec<Value> = incident.troubles.iter().map(trouble).collect();
-    let incarnations: Vec<Value> = incident.incarnations.iter().map(incarnation).collect();
+pub fn render(report: &IncidentReport) -> Value {
+    let troubles: Vec<Value> = report.troubles.iter().map(trouble).collect();
+    let incarnations: Vec<Value> = report.incarnations.iter().map(incarnation).collect();
     json!({
-        "from_us": incident.from.micros(),
-        "to_us": incident.to.micros(),
-        "events": incident.events,
+        "from_us": report.from.micros(),
+        "to_us": report.to.micros(),
+        "events": report.events,
         "troubles": troubles,
         "lives": incarnations,
-        "torn": incident.damage.truncated,
-        "newer": incident.damage.newer,
-        "foreign": incident.damage.foreign,
+        "torn": report.damage.truncated,
+        "newer": report.damage.newer,
+        "foreign": report.damage.foreign,
     })
 }
 
--- a/crates/ochrelead-report/src/lib.rs
+++ b/crates/ochrelead-report/src/lib.rs
@@ -1,6 +1,6 @@
 //! Reports on incidents from the event logs of all fronts.
 //!
-//! - [`incident`]: reads the logs and gathers the contents of a report.
+//! - [`incident_report`]: reads the logs and gathers the contents of a report.
 //! - [`survey`]: the first pass over the logs: clock offsets, and the coverage of each front's log.
 //! - [`merged_log`]: merges the logs of all fronts into one stream in the order of the common clock.
 //! - [`longest_sessions`]: the sessions whose callers waited longest, step by step.
@@ -10,7 +10,7 @@
 
 pub mod error;
 pub mod export;
-pub mod incident;
+pub mod incident_report;
 pub mod json;
 pub mod longest_sessions;
 pub mod merged_log;
--- a/crates/ochrelead-report/src/main.rs
+++ b/crates/ochrelead-report/src/main.rs
@@ -7,7 +7,7 @@
 use clap::Parser;
 use ochrelead_core::time::Span;
 use ochrelead_report::error::ReportError;
-use ochrelead_report::incident::Incident;
+use ochrelead_report::incident_report::IncidentReport;
 use ochrelead_report::{export, json, page};
 
 /// Reports on incidents from the event logs of the fronts
@@ -47,28 +47,28 @@
 }
 
 fn run(arguments: &Arguments) -> Result<(), ReportError> {
-    let incident = Incident::read(&arguments.folders)?;
+    let report = IncidentReport::read(&arguments.folders)?;
     if let Some(path) = &arguments.out {
-        fs::write(path, page::render(&incident)).map_err(|error| ReportError::io(path, error))?;
+        fs::write(path, page::render(&report)).map_err(|error| ReportError::io(path, error))?;
     }
     if let Some(path) = &arguments.parquet {
         export::export(&arguments.folders, path)?;
     }
     if arguments.json {
-        println!("{:#}", json::render(&incident));
+        println!("{:#}", json::render(&report));
     } else {
-        print_troubles(&incident);
+        print_troubles(&report);
     }
     Ok(())
 }
 
 /// Prints one line for each incident.
-fn print_troubles(incident: &Incident) {
+fn print_troubles(report: &IncidentReport) {
     let seconds = |span: Span| span.ratio(Span::from_secs(1));
-    for trouble in &incident.troubles {
-        let onset = seconds(trouble.onset.since(incident.from));
+    for trouble in &report.troubles {
+        let onset = seconds(trouble.onset.since(report.from));
         let end = match trouble.end {
-            Some(end) => format!("{:.1}", seconds(end.since(incident.from))),
+            Some(end) => format!("{:.1}", seconds(end.since(report.from))),
             None => "lasts".to_owned(),
         };
         println!("{onset:.1} to {end} s: {trouble}");
--- a/crates/ochrelead-report/src/page.rs
+++ b/crates/ochrelead-report/src/page.rs
@@ -7,12 +7,12 @@
 use ochrelead_core::time::Span;
 use ochrelead_diagnosis::trouble::Trouble;
 
-use crate::incident::Incident;
+use crate::incident_report::IncidentReport;
 
 const STYLE: &str = include_str!("page/style.css");
 
 /// Renders the page.
-pub fn render(incident: &Incident) -> String {
+pub fn render(report: &IncidentReport) -> String {
     let page = html! {
         (DOCTYPE)
         html lang="en" {
@@ -22,22 +22,22 @@
                 title { "Incident report" }
                 style { (PreEscaped(STYLE)) }
             }
-            body { (body(incident)) }
+            body { (body(report)) }
         }
     };
     page.into_string()
 }
 
-fn body(incident: &Incident) -> Markup {
-    let series = &incident.series;
-    let length = seconds(incident.to.since(incident.from));
+fn body(report: &IncidentReport) -> Markup {
+    let series = &report.series;
+    let length = seconds(report.to.since(report.from));
     html! {
         h1 { "What happened" }
-        p.sub { (format!("{length:.0} s of records, from {} lives of fronts", incident.incarnations.len())) }
-        (summary(incident))
+        p.sub { (format!("{length:.0} s of records, from {} lives of fronts", report.incarnations.len())) }
+        (summary(report))
         h2 { "Timeline of troubles" }
-        div.scroll { (plots::troubles(incident)) }
-        (tables::troubles(incident))
+        div.scroll { (plots::troubles(report)) }
+        (tables::troubles(report))
         h2 { "Servers" }
         p.sub { "Answer times (red, seconds), INVITEs a second (blue), the fronts' in-flight limit (green, dashed)." }
         @for (name, server) in &series.servers {
@@ -48,28 +48,28 @@
         h2 { "Why sessions were given up, and how INVITEs ended" }
         (tables::outcomes(series))
         h2 { "Fronts and their records" }
-        div.scroll { (plots::incarnations(incident)) }
-        (tables::clocks(incident))
-        (tables::damage(incident))
+        div.scroll { (plots::incarnations(report)) }
+        (tables::clocks(report))
+        (tables::damage(report))
         h2 { "The sessions that waited longest" }
-        (longest_sessions(incident))
+        (longest_sessions(report))
     }
 }
 
-fn summary(incident: &Incident) -> Markup {
-    let sessions = incident.series.sessions;
+fn summary(report: &IncidentReport) -> Markup {
+    let sessions = report.series.sessions;
     let share = match sessions.accepted {
         0 => 100.0,
         accepted => sessions.established as f64 / accepted as f64 * 100.0,
     };
     html! {
         p { (format!("Callers tried {} times; {share:.0} in 100 tries stood.", sessions.accepted)) " "
-            @if incident.troubles.is_empty() { "Nothing was wrong that these records show." }
-            @else { (incident.troubles.len()) " troubles were found:" } }
+            @if report.troubles.is_empty() { "Nothing was wrong that these records show." }
+            @else { (report.troubles.len()) " troubles were found:" } }
         ul {
-            @for trouble in &incident.troubles {
+            @for trouble in &report.troubles {
                 li {
-                    strong { (format!("{:.1} s", seconds(trouble.onset.since(incident.from)))) } " " (sentence(trouble))
+                    strong { (format!("{:.1} s", seconds(trouble.onset.since(report.from)))) } " " (sentence(trouble))
                 }
             }
         }
@@ -87,14 +87,14 @@
 }
 
 /// Lists the longest sessions with their steps.
-fn longest_sessions(incident: &Incident) -> Markup {
+fn longest_sessions(report: &IncidentReport) -> Markup {
     html! {
-        @for trace in &incident.longest_sessions {
+        @for trace in &report.longest_sessions {
             details {
                 summary { "Try " (trace.session) ", " (format!("{:.2} s", seconds(trace.waited))) }
                 ol.story {
                     @for step in &trace.steps {
-                        li { (format!("{:.3} s", seconds(step.time.since(incident.from)))) " " (step.description) }
+                        li { (format!("{:.3} s", seconds(step.time.since(report.from)))) " " (step.description) }
                     }
                 }
             }
--- a/crates/ochrelead-report/src/page/plots.rs
+++ b/crates/ochrelead-report/src/page/plots.rs
@@ -4,7 +4,7 @@
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_diagnosis::trouble::Trouble;
 
-use crate::incident::Incident;
+use crate::incident_report::IncidentReport;
 use crate::page::{seconds, sentence};
 use crate::time_series::ServerSeries;
 
@@ -53,15 +53,15 @@
 }
 
 /// Plots the timeline of incidents, from onset to end.
-pub(super) fn troubles(incident: &Incident) -> Markup {
-    let length = seconds(incident.to.since(incident.from));
-    let height = incident.troubles.len() as f64 * TROUBLE_ROW_HEIGHT + TROUBLE_ROW_HEIGHT;
-    let position = |time: Moment| axis_position(seconds(time.since(incident.from)), length);
+pub(super) fn troubles(report: &IncidentReport) -> Markup {
+    let length = seconds(report.to.since(report.from));
+    let height = report.troubles.len() as f64 * TROUBLE_ROW_HEIGHT + TROUBLE_ROW_HEIGHT;
+    let position = |time: Moment| axis_position(seconds(time.since(report.from)), length);
     html! {
         svg viewBox=(format!("0 0 {WIDTH} {height}")) role="img" aria-label="timeline of troubles" {
             (axis(length, height))
-            @for (row, trouble) in incident.troubles.iter().enumerate() {
-                @let (left, right) = (position(trouble.onset), position(trouble.end.unwrap_or(incident.to)));
+            @for (row, trouble) in report.troubles.iter().enumerate() {
+                @let (left, right) = (position(trouble.onset), position(trouble.end.unwrap_or(report.to)));
                 @let top = row as f64 * TROUBLE_ROW_HEIGHT + 3.0;
                 text x="0" y=(top + 11.0) { (trouble_label(trouble)) }
                 rect.bar x=(left) y=(top) width=((right - left).max(2.0)) height="14" rx="2" {
@@ -124,11 +124,11 @@
 }
 
 /// Plots the time covered by the log of each front's incarnations.
-pub(super) fn incarnations(incident: &Incident) -> Markup {
-    let length = seconds(incident.to.since(incident.from));
-    let position = |time: Moment| axis_position(seconds(time.since(incident.from)), length);
+pub(super) fn incarnations(report: &IncidentReport) -> Markup {
+    let length = seconds(report.to.since(report.from));
+    let position = |time: Moment| axis_position(seconds(time.since(report.from)), length);
     let mut fronts: Vec<&str> =
-        incident.incarnations.iter().map(|summary| summary.incarnation.front.as_str()).collect();
+        report.incarnations.iter().map(|summary| summary.incarnation.front.as_str()).collect();
     fronts.dedup();
     let height = fronts.len() as f64 * FRONT_ROW_HEIGHT + AXIS_HEIGHT;
     html! {
@@ -137,7 +137,7 @@
             @for (row, front) in fronts.iter().enumerate() {
                 @let top = row as f64 * FRONT_ROW_HEIGHT;
                 text x="0" y=(top + 11.0) { (front) }
-                @for summary in incident.incarnations.iter().filter(|summary| summary.incarnation.front == *front) {
+                @for summary in report.incarnations.iter().filter(|summary| summary.incarnation.front == *front) {
                     @let (left, right) = (position(summary.from), position(summary.to));
                     rect.life x=(left) y=(top + 2.0) width=((right - left).max(1.0)) height="10" {}
                 }
--- a/crates/ochrelead-report/src/page/tables.rs
+++ b/crates/ochrelead-report/src/page/tables.rs
@@ -2,7 +2,7 @@
 
 use maud::{Markup, html};
 
-use crate::incident::Incident;
+use crate::incident_report::IncidentReport;
 use crate::page::seconds;
 use crate::readable_name;
 use crate::survey::IncarnationSummary;
@@ -11,12 +11,12 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// The table of incidents.
-pub(super) fn troubles(incident: &Incident) -> Markup {
-    let from = incident.from;
+pub(super) fn troubles(report: &IncidentReport) -> Markup {
+    let from = report.from;
     html! {
         table {
             tr { th { "Trouble" } th { "Of" } th.num { "From" } th.num { "To" } th.num { "Sure" } th { "Seen" } }
-            @for trouble in &incident.troubles {
+            @for trouble in &report.troubles {
                 tr {
                     td { (trouble.kind.name()) }
                     td { (trouble.subject) }
@@ -75,9 +75,9 @@
 }
 
 /// The fronts whose clocks were corrected or whose events are incomplete.
-pub(super) fn clocks(incident: &Incident) -> Markup {
+pub(super) fn clocks(report: &IncidentReport) -> Markup {
     let notable: Vec<&IncarnationSummary> =
-        incident.incarnations.iter().filter(|summary| is_notable(summary)).collect();
+        report.incarnations.iter().filter(|summary| is_notable(summary)).collect();
     html! {
         @if !notable.is_empty() {
             table {
@@ -86,8 +86,8 @@
                 @for summary in notable { (clock_row(summary)) }
             }
         }
-        @if !incident.unsynchronized.is_empty() {
-            p { "Nothing ties the clocks of " (incident.unsynchronized.len()) " lives to the others': their order against them is not known." }
+        @if !report.unsynchronized.is_empty() {
+            p { "Nothing ties the clocks of " (report.unsynchronized.len()) " lives to the others': their order against them is not known." }
         }
     }
 }
@@ -115,8 +115,8 @@
 }
 
 /// The parts of the logs that could not be read.
-pub(super) fn damage(incident: &Incident) -> Markup {
-    let damage = &incident.damage;
+pub(super) fn damage(report: &IncidentReport) -> Markup {
+    let damage = &report.damage;
     html! {
         @for (name, bytes) in &damage.truncated { p.sub { (name) ": " (bytes) " bytes at the end were torn." } }
         @for (name, version) in &damage.newer { p.sub { (name) " was written by a newer version (" (version) ")." } }
--- a/crates/ochrelead-report/tests/report.rs
+++ b/crates/ochrelead-report/tests/report.rs
@@ -10,7 +10,7 @@
 use ochrelead_event_log::reader::{Damage, FrontIncarnation, Log, Record};
 use ochrelead_event_log::schema::event::What;
 use ochrelead_event_log::schema::{Event, Invite, Outlook, Stands, Taken, Told};
-use ochrelead_report::incident::Incident;
+use ochrelead_report::incident_report::IncidentReport;
 use ochrelead_report::{json, page};
 use test_case::test_case;
 
@@ -90,7 +90,7 @@
     builder.records
 }
 
-fn incident(records: Vec<Record>) -> Incident {
+fn report_on(records: Vec<Record>) -> IncidentReport {
     let mut by_incarnation: BTreeMap<FrontIncarnation, Vec<Record>> = BTreeMap::new();
     for record in records {
         by_incarnation.entry(record.incarnation.clone()).or_default().push(record);
@@ -99,35 +99,35 @@
         .into_iter()
         .map(|(incarnation, records)| Log::from_records(incarnation, records))
         .collect();
-    Incident::from_logs(&logs, Damage::default())
+    IncidentReport::from_logs(&logs, Damage::default())
 }
 
 #[test_case(0; "with equal clocks")]
 #[test_case(40_000; "with one clock forty seconds fast")]
 #[test_case(-3_000; "with one clock three seconds slow")]
 fn crash_is_detected_despite_clock_offset(clock_offset_ms: i64) {
-    let incident = incident(records(clock_offset_ms, 0..0));
-    let crashes: Vec<_> = incident.troubles.iter().filter(|trouble| trouble.subject == "s1").collect();
-    assert_eq!(crashes.len(), 1, "{:?}", incident.troubles);
-    let onset_ms = crashes[0].onset.since(incident.from).micros() / 1_000;
+    let report = report_on(records(clock_offset_ms, 0..0));
+    let crashes: Vec<_> = report.troubles.iter().filter(|trouble| trouble.subject == "s1").collect();
+    assert_eq!(crashes.len(), 1, "{:?}", report.troubles);
+    let onset_ms = crashes[0].onset.since(report.from).micros() / 1_000;
     assert!((7_000..13_000).contains(&onset_ms), "onset at {onset_ms} ms");
     let offsets_ms: Vec<i64> =
-        incident.incarnations.iter().map(|summary| summary.clock_offset_us / 1_000).collect();
+        report.incarnations.iter().map(|summary| summary.clock_offset_us / 1_000).collect();
     let difference_ms = offsets_ms[1] - offsets_ms[0];
     assert!((difference_ms + clock_offset_ms).abs() <= 100, "{offsets_ms:?}");
 }
 
 #[test]
 fn missing_events_are_counted_and_shown() {
-    let incident = incident(records(0, 15_000..18_000));
-    let missing: Vec<u64> = incident.incarnations.iter().map(|summary| summary.missing_events).collect();
+    let report = report_on(records(0, 15_000..18_000));
+    let missing: Vec<u64> = report.incarnations.iter().map(|summary| summary.missing_events).collect();
     assert!(missing[0] == 0 && missing[1] > 50, "{missing:?}");
-    assert!(page::render(&incident).contains(&missing[1].to_string()));
+    assert!(page::render(&report).contains(&missing[1].to_string()));
 }
 
 #[test]
 fn page_is_self_contained_and_describes_the_crash() {
-    let page = page::render(&incident(records(0, 0..0)));
+    let page = page::render(&report_on(records(0, 0..0)));
     for external in ["http:", "https:", "<script", "src=", "@import", "url("] {
         assert!(!page.contains(external), "{external}");
     }
@@ -141,9 +141,9 @@
 #[test]
 fn log_without_a_fault_yields_no_incidents() {
     let quiet = records(0, 0..0).into_iter().filter(|record| record.event.at_us < 1_009_000_000).collect();
-    let incident = incident(quiet);
-    assert!(page::render(&incident).contains("Nothing was wrong that these records show."));
-    assert_eq!(json::render(&incident)["troubles"].as_array().unwrap().len(), 0);
+    let report = report_on(quiet);
+    assert!(page::render(&report).contains("Nothing was wrong that these records show."));
+    assert_eq!(json::render(&report)["troubles"].as_array().unwrap().len(), 0);
 }
 
 #[test]
@@ -166,19 +166,19 @@
 /// Tools read the JSON report, so its keys and values must not change.
 #[test]
 fn json_of_a_small_log_equals_the_stored_text() {
-    let written = format!("{:#}\n", json::render(&incident(records(40_000, 15_000..18_000))));
+    let written = format!("{:#}\n", json::render(&report_on(records(40_000, 15_000..18_000))));
     assert_eq!(written, stored("small-log.json"));
 }
 
 #[test]
 fn page_of_a_small_log_equals_the_stored_page() {
-    let written = page::render(&incident(records(40_000, 15_000..18_000)));
+    let written = page::render(&report_on(records(40_000, 15_000..18_000)));
     assert_eq!(written, stored("small-log.html"));
 }
 
 #[test]
 fn json_of_each_incident_kind_equals_the_stored_text() {
-    let mut incident = incident(records(0, 0..0));
+    let mut report = report_on(records(0, 0..0));
     let kinds = [
         TroubleKind::Slow,
         TroubleKind::AllSlow,
@@ -201,7 +201,7 @@
         confidence: 0.5,
         evidence: "seen".to_owned(),
     };
-    incident.troubles = kinds.into_iter().map(trouble).collect();
-    let written = format!("{:#}\n", json::render(&incident)["troubles"]);
+    report.troubles = kinds.into_iter().map(trouble).collect();
+    let written = format!("{:#}\n", json::render(&report)["troubles"]);
     assert_eq!(written, stored("kinds.json"));
 }
--- a/crates/ochrelead-scenario/src/detection/mod.rs
+++ b/crates/ochrelead-scenario/src/detection/mod.rs
@@ -11,7 +11,7 @@
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_diagnosis::trouble::{Trouble, TroubleKind};
 use ochrelead_event_log::reader::{Damage, Log, open_logs};
-use ochrelead_report::incident::Incident;
+use ochrelead_report::incident_report::IncidentReport;
 use thiserror::Error;
 
 use crate::capture::CapturedDatagram;
@@ -84,7 +84,7 @@
         Some(seed) => corruption::corrupt_logs(logs, seed),
         None => logs,
     };
-    let incident = Incident::from_logs(&logs, Damage::default());
+    let incident = IncidentReport::from_logs(&logs, Damage::default());
     // The incident's clock is that of some front, the script's that of the last one, which is never corrupted.
     let clock_offset_us = incident.incarnations.last().map_or(0, |summary| summary.clock_offset_us);
     let start = Moment::from_micros(start.micros().saturating_add_signed(clock_offset_us));
