--- a/crates/ochrelead-console/src/fleet_view.rs
+++ b/crates/ochrelead-console/src/fleet_view.rs
@@ -4,7 +4,7 @@
 
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_diagnosis::diagnosis::Diagnosis;
-use ochrelead_diagnosis::trouble::Trouble;
+use ochrelead_diagnosis::incident::Incident;
 use ochrelead_event_log::reader::Record;
 use ochrelead_event_log::schema::event::What;
 
@@ -93,14 +93,14 @@
     }
 
     /// Ongoing incidents, the oldest first.
-    pub fn ongoing_troubles(&self) -> Vec<Trouble> {
-        self.diagnosis.troubles().into_iter().filter(|trouble| trouble.end.is_none()).collect()
+    pub fn ongoing_incidents(&self) -> Vec<Incident> {
+        self.diagnosis.incidents().into_iter().filter(|incident| incident.end.is_none()).collect()
     }
 
     /// Past incidents, the newest first.
-    pub fn past_troubles(&self) -> Vec<Trouble> {
-        let troubles = self.diagnosis.troubles().into_iter().rev();
-        troubles.filter(|trouble| trouble.end.is_some()).collect()
+    pub fn past_incidents(&self) -> Vec<Incident> {
+        let incidents = self.diagnosis.incidents().into_iter().rev();
+        incidents.filter(|incident| incident.end.is_some()).collect()
     }
 
     /// Lists the steps of the newest sessions that involve `subject`, a server or a session. One line per step.
@@ -151,10 +151,10 @@
     }
 
     fn evaluate_servers(&mut self) {
-        let troubles = self.ongoing_troubles();
+        let incidents = self.ongoing_incidents();
         for (name, server) in &mut self.servers {
-            let trouble = troubles.iter().find(|trouble| trouble.subject == *name);
-            server.evaluate(self.now, trouble);
+            let incident = incidents.iter().find(|incident| incident.subject == *name);
+            server.evaluate(self.now, incident);
         }
     }
 }
--- a/crates/ochrelead-console/src/screen.rs
+++ b/crates/ochrelead-console/src/screen.rs
@@ -58,7 +58,7 @@
     draw_servers(frame, servers, fleet, state.selected);
     match fleet.servers().keys().nth(state.selected) {
         Some(server) if state.sessions_open => draw_sessions(frame, list, fleet, server),
-        _ => draw_troubles(frame, list, fleet),
+        _ => draw_incidents(frame, list, fleet),
     }
     draw_plot(frame, accepted, "tries", fleet.accepted());
     draw_plot(frame, established, "stood", fleet.established());
@@ -93,16 +93,16 @@
     frame.render_widget(List::new(fleet.describe_sessions(server)).block(block), area);
 }
 
-fn draw_troubles(frame: &mut Frame<'_>, area: Rect, fleet: &FleetView) {
+fn draw_incidents(frame: &mut Frame<'_>, area: Rect, fleet: &FleetView) {
     let now = fleet.now();
     let ongoing_style = Style::new().fg(Color::Red);
     let past_style = Style::new().add_modifier(Modifier::DIM);
     let mut lines = Vec::new();
-    for trouble in fleet.ongoing_troubles() {
-        lines.push(Line::styled(text::describe_trouble(&trouble, now), ongoing_style));
+    for incident in fleet.ongoing_incidents() {
+        lines.push(Line::styled(text::describe_incident(&incident, now), ongoing_style));
     }
-    for trouble in fleet.past_troubles() {
-        lines.push(Line::styled(text::describe_trouble(&trouble, now), past_style));
+    for incident in fleet.past_incidents() {
+        lines.push(Line::styled(text::describe_incident(&incident, now), past_style));
     }
     frame.render_widget(List::new(lines).block(Block::bordered().title("troubles")), area);
 }
--- a/crates/ochrelead-console/src/server_view.rs
+++ b/crates/ochrelead-console/src/server_view.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use ochrelead_core::time::{Moment, Span};
-use ochrelead_diagnosis::trouble::{Trouble, TroubleKind};
+use ochrelead_diagnosis::incident::{Incident, IncidentKind};
 use ochrelead_event_log::schema::Outlook;
 
 use crate::fleet_view::FRONT_TIMEOUT;
@@ -135,8 +135,8 @@
         self.reports.insert(front.to_owned(), front_report);
     }
 
-    /// Updates state, limit and answer time. `trouble` is the oldest ongoing incident at the server.
-    pub(crate) fn evaluate(&mut self, now: Moment, trouble: Option<&Trouble>) {
+    /// Updates state, limit and answer time. `incident` is the oldest ongoing incident at the server.
+    pub(crate) fn evaluate(&mut self, now: Moment, incident: Option<&Incident>) {
         let current: Vec<&FrontReport> =
             self.reports.values().filter(|report| now.since(report.time) < FRONT_TIMEOUT).collect();
         let limits = current.iter().map(|report| report.limit);
@@ -145,16 +145,16 @@
         let ejections = current.iter().filter(|report| report.ejected).count();
         let is_mostly_ejected = ejections * 2 > current.len();
 
-        let state = match trouble.map(|trouble| trouble.kind) {
-            Some(TroubleKind::Silent) => ServerState::Silent,
-            Some(TroubleKind::Slow) => ServerState::Slow,
-            Some(TroubleKind::AnswersLost) => ServerState::AnswersLost,
+        let state = match incident.map(|incident| incident.kind) {
+            Some(IncidentKind::Silent) => ServerState::Silent,
+            Some(IncidentKind::Slow) => ServerState::Slow,
+            Some(IncidentKind::AnswersLost) => ServerState::AnswersLost,
             _ if self.warming_up => ServerState::WarmingUp,
             _ if is_mostly_ejected => ServerState::Ejected,
             _ => ServerState::Healthy,
         };
         if state != self.state || self.state_since.is_none() {
-            self.state_since = trouble.map(|trouble| trouble.onset).or(Some(now));
+            self.state_since = incident.map(|incident| incident.onset).or(Some(now));
         }
         self.state = state;
         self.limit = limit;
--- a/crates/ochrelead-console/src/text.rs
+++ b/crates/ochrelead-console/src/text.rs
@@ -1,7 +1,7 @@
 //! Renders the fleet as text.
 
 use ochrelead_core::time::{Moment, Span};
-use ochrelead_diagnosis::trouble::Trouble;
+use ochrelead_diagnosis::incident::Incident;
 
 use crate::fleet_view::FleetView;
 use crate::server_view::ServerView;
@@ -18,27 +18,27 @@
     for (name, server) in fleet.servers() {
         lines.push(describe_server(name, server, now));
     }
-    let ongoing = fleet.ongoing_troubles();
+    let ongoing = fleet.ongoing_incidents();
     let heading = if ongoing.is_empty() { "no trouble in hand" } else { "troubles in hand:" };
     lines.push(heading.to_owned());
-    for trouble in &ongoing {
-        lines.push(format!("  {}", describe_trouble(trouble, now)));
+    for incident in &ongoing {
+        lines.push(format!("  {}", describe_incident(incident, now)));
     }
-    for trouble in fleet.past_troubles().iter().take(PAST_INCIDENTS_SHOWN) {
-        lines.push(format!("  passed: {}", describe_trouble(trouble, now)));
+    for incident in fleet.past_incidents().iter().take(PAST_INCIDENTS_SHOWN) {
+        lines.push(format!("  passed: {}", describe_incident(incident, now)));
     }
     lines.join("\n") + "\n"
 }
 
 /// Describes an incident in one line, with the time since its onset.
-pub(crate) fn describe_trouble(trouble: &Trouble, now: Moment) -> String {
-    let age = seconds(now.since(trouble.onset));
-    let subject = if trouble.subject.is_empty() { "the fleet" } else { &trouble.subject };
-    let duration = match trouble.end {
-        Some(end) => format!("lasted {:.1} s", seconds(end.since(trouble.onset))),
+pub(crate) fn describe_incident(incident: &Incident, now: Moment) -> String {
+    let age = seconds(now.since(incident.onset));
+    let subject = if incident.subject.is_empty() { "the fleet" } else { &incident.subject };
+    let duration = match incident.end {
+        Some(end) => format!("lasted {:.1} s", seconds(end.since(incident.onset))),
         None => "lasts".to_owned(),
     };
-    format!("{age:.0} s ago, {duration}: {subject}: {}: {}", trouble.kind.name(), trouble.evidence)
+    format!("{age:.0} s ago, {duration}: {subject}: {}: {}", incident.kind.name(), incident.evidence)
 }
 
 /// Describes a server in one line.
--- a/crates/ochrelead-diagnosis/src/diagnosis.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis.rs
@@ -16,8 +16,8 @@
 use ochrelead_event_log::reader::FrontIncarnation;
 use ochrelead_event_log::schema::Event;
 
+use crate::incident::Incident;
 use crate::statistics::{FrontActivity, LearnedMean, RecentEvents, ServerStats};
-use crate::trouble::Trouble;
 use incident_log::IncidentLog;
 
 /// The interval between evaluations of the state.
@@ -37,7 +37,7 @@
     called: String,
 }
 
-/// Detects incidents. Feed it events with [`Diagnosis::handle_event`] and read [`Diagnosis::troubles`] at any time.
+/// Detects incidents. Feed it events with [`Diagnosis::handle_event`] and read [`Diagnosis::incidents`] at any time.
 pub struct Diagnosis {
     /// The time of the next evaluation; `None` before the first event.
     next_evaluation: Option<Moment>,
@@ -112,7 +112,7 @@
     }
 
     /// All incidents so far, in the order of their onsets. An ongoing incident has no end.
-    pub fn troubles(&self) -> Vec<Trouble> {
+    pub fn incidents(&self) -> Vec<Incident> {
         self.incidents.sorted_by_onset()
     }
 
--- a/crates/ochrelead-diagnosis/src/diagnosis/answer_times.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis/answer_times.rs
@@ -5,8 +5,8 @@
 use super::incident_log::Finding;
 use super::server_survey::{LateServer, SURGE_MULTIPLE, ServerSurvey, is_recent, rate_over};
 use super::{AFTERMATH, Diagnosis, WINDOW, window_middle};
+use crate::incident::IncidentKind;
 use crate::statistics::ServerStats;
-use crate::trouble::TroubleKind;
 
 /// The fleet is overloaded from this share of attempts that are rejected for lack of capacity.
 const MIN_REJECTED_SHARE: f64 = 0.12;
@@ -111,7 +111,7 @@
     fn report_lossy_servers(&mut self, now: Moment, survey: &ServerSurvey) {
         for server in &survey.lossy {
             let finding = Finding {
-                kind: TroubleKind::AnswersLost,
+                kind: IncidentKind::AnswersLost,
                 subject: &server.name,
                 onset: window_middle(now),
                 confidence: (server.to_retransmission as f64 / CONFIDENT_RETRANSMISSIONS).min(1.0),
@@ -128,7 +128,7 @@
     fn report_late_answers(&mut self, evaluation: &Evaluation) {
         let survey = &evaluation.survey;
         let is_slow_known =
-            self.incidents.any_open(|kind| matches!(kind, TroubleKind::Slow | TroubleKind::AllSlow));
+            self.incidents.any_open(|kind| matches!(kind, IncidentKind::Slow | IncidentKind::AllSlow));
         let slow_server = self.slow_server_of_several(evaluation);
         self.keep_avoided_servers_reported(evaluation);
         let rejected_share = self.rejections.len() as f64 / self.attempts.len().max(1) as f64;
@@ -155,7 +155,7 @@
             && survey.healthy > 0
             && self.may_be_slow(evaluation, server)
             && !self.incidents.is_open_or_last_closed(
-                TroubleKind::AnswersLost,
+                IncidentKind::AnswersLost,
                 &server.name,
                 LAST_ENDED_OF_SERVER,
             )
@@ -166,7 +166,7 @@
 
     /// Whether a late server is slow: no other cause explains it, or it is already reported as slow.
     fn may_be_slow(&self, evaluation: &Evaluation, server: &LateServer) -> bool {
-        evaluation.is_unexplained || self.incidents.is_open(TroubleKind::Slow, &server.name)
+        evaluation.is_unexplained || self.incidents.is_open(IncidentKind::Slow, &server.name)
     }
 
     /// The slow one of several late servers: its load is reduced, while the others keep their load.
@@ -183,7 +183,7 @@
     fn keep_avoided_servers_reported(&mut self, evaluation: &Evaluation) {
         let ServerSurvey { avoided, late, .. } = &evaluation.survey;
         for name in avoided.iter().filter(|name| !late.iter().any(|server| server.name == **name)) {
-            self.incidents.keep_open(evaluation.now, TroubleKind::Slow, name);
+            self.incidents.keep_open(evaluation.now, IncidentKind::Slow, name);
         }
     }
 
@@ -192,12 +192,12 @@
         !survey.late.is_empty()
             && survey.evaluated > 1
             && survey.healthy == 0
-            && (evaluation.is_unexplained || self.incidents.is_open(TroubleKind::AllSlow, ""))
+            && (evaluation.is_unexplained || self.incidents.is_open(IncidentKind::AllSlow, ""))
     }
 
     fn report_slow_server(&mut self, evaluation: &Evaluation, server: &LateServer) {
         let finding = Finding {
-            kind: TroubleKind::Slow,
+            kind: IncidentKind::Slow,
             subject: &server.name,
             onset: evaluation.onset,
             confidence: server.confidence(),
@@ -209,9 +209,9 @@
     fn report_all_slow(&mut self, evaluation: &Evaluation) {
         let ServerSurvey { late, evaluated, .. } = &evaluation.survey;
         let finding = Finding {
-            kind: TroubleKind::AllSlow,
+            kind: IncidentKind::AllSlow,
             subject: "",
-            onset: self.incidents.take_earliest_onset(TroubleKind::Slow, evaluation.onset),
+            onset: self.incidents.take_earliest_onset(IncidentKind::Slow, evaluation.onset),
             confidence: ALL_SLOW_CONFIDENCE,
             evidence: format!(
                 "{} of {evaluated} answer late while no more is offered than usual",
@@ -223,7 +223,7 @@
 
     fn report_overload(&mut self, evaluation: &Evaluation, confidence: f64, evidence: String) {
         let finding = Finding {
-            kind: TroubleKind::Overload,
+            kind: IncidentKind::Overload,
             subject: "",
             onset: evaluation.onset,
             confidence,
@@ -245,14 +245,14 @@
     /// Whether immediate redials or a flooded number inflate, or recently inflated, the demand.
     fn is_demand_inflated(&self, now: Moment) -> bool {
         self.incidents.any_recent(now, AFTERMATH / 2, LAST_ENDED, |kind| {
-            matches!(kind, TroubleKind::Redials | TroubleKind::HotNumber)
+            matches!(kind, IncidentKind::Redials | IncidentKind::HotNumber)
         })
     }
 
     /// Whether no front is, or recently was, cut off, suspended or ended. Such a front causes rejections by itself.
     fn are_fronts_healthy(&self, now: Moment) -> bool {
         !self.incidents.any_recent(now, AFTERMATH, LAST_ENDED, |kind| {
-            matches!(kind, TroubleKind::CutOff | TroubleKind::FrontStalled | TroubleKind::FrontKilled)
+            matches!(kind, IncidentKind::CutOff | IncidentKind::FrontStalled | IncidentKind::FrontKilled)
         })
     }
 }
--- a/crates/ochrelead-diagnosis/src/diagnosis/callers.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis/callers.rs
@@ -6,7 +6,7 @@
 
 use super::incident_log::Finding;
 use super::{Diagnosis, window_middle};
-use crate::trouble::TroubleKind;
+use crate::incident::IncidentKind;
 
 /// The number of cases within the window that makes an incident.
 const MIN_CASES: usize = 4;
@@ -37,7 +37,7 @@
     pub(super) fn evaluate_callers(&mut self, now: Moment) {
         if let Some(flooded) = self.flooded_number() {
             let finding = Finding {
-                kind: TroubleKind::HotNumber,
+                kind: IncidentKind::HotNumber,
                 subject: &flooded.value,
                 onset: window_middle(now),
                 confidence: (flooded.count as f64 / CONFIDENT_FLOOD_CASES).min(1.0),
@@ -56,7 +56,7 @@
             return;
         }
         let finding = Finding {
-            kind: TroubleKind::Redials,
+            kind: IncidentKind::Redials,
             subject: &format!("member {tenant}"),
             onset: window_middle(now),
             confidence: (count as f64 / CONFIDENT_REDIAL_CASES).min(1.0),
--- a/crates/ochrelead-diagnosis/src/diagnosis/events.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis/events.rs
@@ -7,8 +7,8 @@
 
 use super::incident_log::{Finding, INCIDENT_MERGE_GAP};
 use super::{Diagnosis, OpenCall, WINDOW};
+use crate::incident::IncidentKind;
 use crate::statistics::{FrontActivity, RecentEvents, SERVER_RETENTION, seconds};
-use crate::trouble::TroubleKind;
 
 /// A redial within this time after the end of the last attempt at the number is immediate: a patient caller waits
 /// longer.
@@ -126,7 +126,7 @@
             return;
         }
         let finding = Finding {
-            kind: TroubleKind::FrontStalled,
+            kind: IncidentKind::FrontStalled,
             subject: front,
             onset: Moment::from_micros(time.micros().saturating_sub(duration.micros())),
             confidence: 1.0,
@@ -172,7 +172,7 @@
         if front.started_us == incarnation.started_us {
             front.last_record_at = front.last_record_at.max(time);
             // The same incarnation writes again: its records were missing, but it had not ended.
-            self.incidents.withdraw(TroubleKind::FrontKilled, name);
+            self.incidents.withdraw(IncidentKind::FrontKilled, name);
             return;
         }
         let previous = std::mem::replace(
@@ -187,9 +187,9 @@
         }
         self.end_calls_of(name);
         if !previous.has_left {
-            self.incidents.withdraw(TroubleKind::FrontKilled, name);
+            self.incidents.withdraw(IncidentKind::FrontKilled, name);
             let finding = Finding {
-                kind: TroubleKind::FrontKilled,
+                kind: IncidentKind::FrontKilled,
                 subject: name,
                 onset: previous.last_record_at,
                 confidence: 1.0,
@@ -226,17 +226,17 @@
         last_heard_at: Option<Moment>,
         draining_since: Option<Moment>,
     ) {
-        let silence = self.incidents.withdraw(TroubleKind::Silent, name);
+        let silence = self.incidents.withdraw(IncidentKind::Silent, name);
         // Another front's record of the same announcement has been reported already.
         let last_ends =
-            [TroubleKind::Crashed, TroubleKind::Replaced].map(|kind| self.incidents.last_end(kind, name));
+            [IncidentKind::Crashed, IncidentKind::Replaced].map(|kind| self.incidents.last_end(kind, name));
         if last_ends.into_iter().flatten().any(|end| time.since(end) < INCIDENT_MERGE_GAP) {
             return;
         }
         let silent_since = silence.map(|incident| incident.onset).or(last_heard_at).unwrap_or(time);
         let (kind, onset, evidence) = match draining_since {
-            Some(onset) => (TroubleKind::Replaced, onset, "it said that it drains, then that it started"),
-            None => (TroubleKind::Crashed, silent_since, "it said that it started, and nothing before"),
+            Some(onset) => (IncidentKind::Replaced, onset, "it said that it drains, then that it started"),
+            None => (IncidentKind::Crashed, silent_since, "it said that it started, and nothing before"),
         };
         let finding = Finding { kind, subject: name, onset, confidence: 1.0, evidence: evidence.to_owned() };
         self.incidents.record_ended(finding, time);
--- a/crates/ochrelead-diagnosis/src/diagnosis/incident_log.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis/incident_log.rs
@@ -4,7 +4,7 @@
 
 use ochrelead_core::time::{Moment, Span};
 
-use crate::trouble::{Trouble, TroubleKind};
+use crate::incident::{Incident, IncidentKind};
 
 /// An incident that recurs within this time after its end is the same incident and is reopened.
 pub(super) const INCIDENT_MERGE_GAP: Span = Span::from_secs(3);
@@ -12,19 +12,19 @@
 /// Identifies an open incident.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IncidentKey {
-    kind: TroubleKind,
+    kind: IncidentKind,
     subject: String,
 }
 
 impl IncidentKey {
-    fn new(kind: TroubleKind, subject: &str) -> IncidentKey {
+    fn new(kind: IncidentKind, subject: &str) -> IncidentKey {
         IncidentKey { kind, subject: subject.to_owned() }
     }
 }
 
 /// A detected condition with its evidence. Opens an incident or updates an open one.
 pub(super) struct Finding<'a> {
-    pub(super) kind: TroubleKind,
+    pub(super) kind: IncidentKind,
     pub(super) subject: &'a str,
     pub(super) onset: Moment,
     pub(super) confidence: f64,
@@ -32,35 +32,35 @@
 }
 
 impl Finding<'_> {
-    fn into_incident(self, end: Option<Moment>) -> Trouble {
+    fn into_incident(self, end: Option<Moment>) -> Incident {
         let Finding { kind, subject, onset, confidence, evidence } = self;
-        Trouble { kind, subject: subject.to_owned(), onset, end, confidence, evidence }
+        Incident { kind, subject: subject.to_owned(), onset, end, confidence, evidence }
     }
 }
 
 /// All incidents so far.
 #[derive(Default)]
 pub(super) struct IncidentLog {
-    open: BTreeMap<IncidentKey, Trouble>,
+    open: BTreeMap<IncidentKey, Incident>,
     /// When the last evidence of each open incident was seen.
     last_seen: BTreeMap<IncidentKey, Moment>,
     /// Closed incidents, in the order in which they were closed.
-    closed: Vec<Trouble>,
+    closed: Vec<Incident>,
 }
 
 impl IncidentLog {
     /// All incidents in the order of their onsets.
-    pub(super) fn sorted_by_onset(&self) -> Vec<Trouble> {
-        let mut sorted: Vec<Trouble> = self.closed.iter().chain(self.open.values()).cloned().collect();
+    pub(super) fn sorted_by_onset(&self) -> Vec<Incident> {
+        let mut sorted: Vec<Incident> = self.closed.iter().chain(self.open.values()).cloned().collect();
         sorted.sort_by(|a, b| (a.onset, a.kind, &a.subject).cmp(&(b.onset, b.kind, &b.subject)));
         sorted
     }
 
-    pub(super) fn is_open(&self, kind: TroubleKind, subject: &str) -> bool {
+    pub(super) fn is_open(&self, kind: IncidentKind, subject: &str) -> bool {
         self.open.contains_key(&IncidentKey::new(kind, subject))
     }
 
-    pub(super) fn any_open(&self, matches_kind: impl Fn(TroubleKind) -> bool) -> bool {
+    pub(super) fn any_open(&self, matches_kind: impl Fn(IncidentKind) -> bool) -> bool {
         self.open.keys().any(|key| matches_kind(key.kind))
     }
 
@@ -71,23 +71,23 @@
         now: Moment,
         span: Span,
         count: usize,
-        matches_kind: impl Fn(TroubleKind) -> bool,
+        matches_kind: impl Fn(IncidentKind) -> bool,
     ) -> bool {
-        let has_just_ended = |incident: &Trouble| incident.end.is_some_and(|end| now.since(end) < span);
+        let has_just_ended = |incident: &Incident| incident.end.is_some_and(|end| now.since(end) < span);
         let mut last_closed = self.closed.iter().rev().take(count);
         self.any_open(&matches_kind)
             || last_closed.any(|incident| matches_kind(incident.kind) && has_just_ended(incident))
     }
 
     /// Whether such an incident is open or among the last `count` closed ones.
-    pub(super) fn is_open_or_last_closed(&self, kind: TroubleKind, subject: &str, count: usize) -> bool {
+    pub(super) fn is_open_or_last_closed(&self, kind: IncidentKind, subject: &str, count: usize) -> bool {
         let mut incidents = self.open.values().chain(self.closed.iter().rev().take(count));
         incidents.any(|incident| incident.kind == kind && incident.subject == subject)
     }
 
     /// The end of the last closed incident of this kind and subject.
-    pub(super) fn last_end(&self, kind: TroubleKind, subject: &str) -> Option<Moment> {
-        let is_same = |incident: &&Trouble| incident.kind == kind && incident.subject == subject;
+    pub(super) fn last_end(&self, kind: IncidentKind, subject: &str) -> Option<Moment> {
+        let is_same = |incident: &&Incident| incident.kind == kind && incident.subject == subject;
         self.closed.iter().rev().find(is_same).and_then(|incident| incident.end)
     }
 
@@ -107,14 +107,14 @@
             is_same && incident.end.is_some_and(|end| finding.onset.since(end) < INCIDENT_MERGE_GAP)
         });
         let incident = match reopened {
-            Some(reopened) => Trouble { end: None, ..self.closed.remove(reopened) },
+            Some(reopened) => Incident { end: None, ..self.closed.remove(reopened) },
             None => finding.into_incident(None),
         };
         self.open.insert(key, incident);
     }
 
     /// Keeps an open incident from expiring although there is no new evidence.
-    pub(super) fn keep_open(&mut self, now: Moment, kind: TroubleKind, subject: &str) {
+    pub(super) fn keep_open(&mut self, now: Moment, kind: IncidentKind, subject: &str) {
         let key = IncidentKey::new(kind, subject);
         if self.open.contains_key(&key) {
             self.last_seen.insert(key, now);
@@ -122,7 +122,7 @@
     }
 
     /// Removes and returns an open incident that turned out to have another cause.
-    pub(super) fn withdraw(&mut self, kind: TroubleKind, subject: &str) -> Option<Trouble> {
+    pub(super) fn withdraw(&mut self, kind: IncidentKind, subject: &str) -> Option<Incident> {
         let key = IncidentKey::new(kind, subject);
         self.last_seen.remove(&key);
         self.open.remove(&key)
@@ -130,10 +130,10 @@
 
     /// Records an incident that is detected only after its end.
     pub(super) fn record_ended(&mut self, finding: Finding<'_>, end: Moment) {
-        if matches!(finding.kind, TroubleKind::FrontStalled | TroubleKind::FrontKilled) {
+        if matches!(finding.kind, IncidentKind::FrontStalled | IncidentKind::FrontKilled) {
             // The same cause was reported as a front that hears from no server: replace that report.
-            let is_same = |incident: &Trouble| {
-                incident.kind == TroubleKind::CutOff
+            let is_same = |incident: &Incident| {
+                incident.kind == IncidentKind::CutOff
                     && incident.subject == finding.subject
                     && incident.onset + INCIDENT_MERGE_GAP >= finding.onset
             };
@@ -145,8 +145,8 @@
 
     /// Removes the open and recently closed incidents of a kind, to merge them into one incident of the whole fleet.
     /// Returns the earliest of their onsets and `onset`.
-    pub(super) fn take_earliest_onset(&mut self, kind: TroubleKind, onset: Moment) -> Moment {
-        let is_current = |incident: &Trouble| {
+    pub(super) fn take_earliest_onset(&mut self, kind: IncidentKind, onset: Moment) -> Moment {
+        let is_current = |incident: &Incident| {
             incident.kind == kind && incident.end.is_none_or(|end| onset.since(end) < INCIDENT_MERGE_GAP)
         };
         let current = self.open.values().chain(&self.closed).filter(|incident| is_current(incident));
--- a/crates/ochrelead-diagnosis/src/diagnosis/presence.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis/presence.rs
@@ -4,8 +4,8 @@
 
 use super::Diagnosis;
 use super::incident_log::Finding;
+use crate::incident::IncidentKind;
 use crate::statistics::FrontActivity;
-use crate::trouble::TroubleKind;
 
 /// A server that has not been heard from for this time while INVITEs are outstanding is silent.
 const SILENCE: Span = Span::from_millis(1_300);
@@ -57,11 +57,11 @@
             .map(|(name, front)| MissingFront { name: name.clone(), last_record_at: front.last_record_at })
             .collect();
         for front in missing {
-            if !self.incidents.is_open(TroubleKind::FrontKilled, &front.name) {
+            if !self.incidents.is_open(IncidentKind::FrontKilled, &front.name) {
                 self.end_calls_of(&front.name);
             }
             let finding = Finding {
-                kind: TroubleKind::FrontKilled,
+                kind: IncidentKind::FrontKilled,
                 subject: &front.name,
                 onset: front.last_record_at,
                 confidence: MISSING_FRONT_CONFIDENCE,
@@ -77,7 +77,7 @@
         for server in &silent {
             self.server(&server.name).silent_at = Some(now);
             let finding = Finding {
-                kind: TroubleKind::Silent,
+                kind: IncidentKind::Silent,
                 subject: &server.name,
                 onset: server.last_heard_at,
                 confidence: SILENCE_CONFIDENCE,
@@ -90,7 +90,7 @@
         }
         for front in self.cut_off_fronts(now, &silent) {
             let finding = Finding {
-                kind: TroubleKind::CutOff,
+                kind: IncidentKind::CutOff,
                 subject: &front.name,
                 onset: front.onset,
                 confidence: SILENCE_CONFIDENCE,
@@ -106,7 +106,7 @@
             let Some(last_heard_at) = server.last_heard_at else { continue };
             let sent_at = server.outstanding.values();
             let unanswered = sent_at.filter(|sent_at| now.since(**sent_at) > SILENCE / 2).count();
-            let is_reported = self.incidents.is_open(TroubleKind::Silent, name);
+            let is_reported = self.incidents.is_open(IncidentKind::Silent, name);
             if now.since(last_heard_at) >= SILENCE && (unanswered > 0 || is_reported) {
                 silent.push(SilentServer { name: name.clone(), last_heard_at, unanswered });
             }
--- a/crates/ochrelead-diagnosis/src/trouble.rs
+++ b/crates/ochrelead-diagnosis/src/incident.rs
@@ -6,7 +6,7 @@
 
 /// The kind of an incident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum TroubleKind {
+pub enum IncidentKind {
     /// A server answers later than usual while others answer as usual.
     Slow,
     /// All servers answer later than usual, although demand is not higher.
@@ -33,67 +33,67 @@
     Overload,
 }
 
-impl TroubleKind {
+impl IncidentKind {
     /// The identifier in JSON output. Stable: it stays the same if a variant is renamed.
     pub fn id(self) -> &'static str {
         match self {
-            TroubleKind::Slow => "Slow",
-            TroubleKind::AllSlow => "AllSlow",
-            TroubleKind::Silent => "Silent",
-            TroubleKind::Crashed => "Crashed",
-            TroubleKind::Replaced => "Replaced",
-            TroubleKind::AnswersLost => "AnswersLost",
-            TroubleKind::CutOff => "CutOff",
-            TroubleKind::FrontKilled => "FrontKilled",
-            TroubleKind::FrontStalled => "FrontStalled",
-            TroubleKind::Redials => "Redials",
-            TroubleKind::HotNumber => "HotNumber",
-            TroubleKind::Overload => "Overload",
+            IncidentKind::Slow => "Slow",
+            IncidentKind::AllSlow => "AllSlow",
+            IncidentKind::Silent => "Silent",
+            IncidentKind::Crashed => "Crashed",
+            IncidentKind::Replaced => "Replaced",
+            IncidentKind::AnswersLost => "AnswersLost",
+            IncidentKind::CutOff => "CutOff",
+            IncidentKind::FrontKilled => "FrontKilled",
+            IncidentKind::FrontStalled => "FrontStalled",
+            IncidentKind::Redials => "Redials",
+            IncidentKind::HotNumber => "HotNumber",
+            IncidentKind::Overload => "Overload",
         }
     }
 
     /// A short name for plots, of one or two words.
     pub fn short_name(self) -> &'static str {
         match self {
-            TroubleKind::Slow => "slow",
-            TroubleKind::AllSlow => "all slow",
-            TroubleKind::Silent => "silent",
-            TroubleKind::Crashed => "crashed",
-            TroubleKind::Replaced => "replaced",
-            TroubleKind::AnswersLost => "answers lost",
-            TroubleKind::CutOff => "cut off",
-            TroubleKind::FrontKilled => "killed",
-            TroubleKind::FrontStalled => "stood still",
-            TroubleKind::Redials => "redials",
-            TroubleKind::HotNumber => "flooded",
-            TroubleKind::Overload => "overload",
+            IncidentKind::Slow => "slow",
+            IncidentKind::AllSlow => "all slow",
+            IncidentKind::Silent => "silent",
+            IncidentKind::Crashed => "crashed",
+            IncidentKind::Replaced => "replaced",
+            IncidentKind::AnswersLost => "answers lost",
+            IncidentKind::CutOff => "cut off",
+            IncidentKind::FrontKilled => "killed",
+            IncidentKind::FrontStalled => "stood still",
+            IncidentKind::Redials => "redials",
+            IncidentKind::HotNumber => "flooded",
+            IncidentKind::Overload => "overload",
         }
     }
 
     /// The name shown in reports.
     pub fn name(self) -> &'static str {
         match self {
-            TroubleKind::Slow => "slow",
-            TroubleKind::AllSlow => "all servers slow",
-            TroubleKind::Silent => "silent",
-            TroubleKind::Crashed => "crashed and started anew",
-            TroubleKind::Replaced => "drained and replaced",
-            TroubleKind::AnswersLost => "answers lost on the way",
-            TroubleKind::CutOff => "front cut off from the servers",
-            TroubleKind::FrontKilled => "front ended without a word",
-            TroubleKind::FrontStalled => "front stood still",
-            TroubleKind::Redials => "a member's callers dial again at once",
-            TroubleKind::HotNumber => "one number flooded",
-            TroubleKind::Overload => "more offered than can be carried",
+            IncidentKind::Slow => "slow",
+            IncidentKind::AllSlow => "all servers slow",
+            IncidentKind::Silent => "silent",
+            IncidentKind::Crashed => "crashed and started anew",
+            IncidentKind::Replaced => "drained and replaced",
+            IncidentKind::AnswersLost => "answers lost on the way",
+            IncidentKind::CutOff => "front cut off from the servers",
+            IncidentKind::FrontKilled => "front ended without a word",
+            IncidentKind::FrontStalled => "front stood still",
+            IncidentKind::Redials => "a member's callers dial again at once",
+            IncidentKind::HotNumber => "one number flooded",
+            IncidentKind::Overload => "more offered than can be carried",
         }
     }
 }
 
 /// A detected incident.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trouble {
+pub struct Incident {
     /// What is wrong.
-    pub kind: TroubleKind,
+    pub kind: IncidentKind,
     /// The server, front, tenant or called number affected; empty if it is the whole fleet.
     pub subject: String,
     /// When it began.
@@ -106,7 +106,7 @@
     pub evidence: String,
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for Incident {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.kind.name())?;
         if !self.subject.is_empty() {
--- a/crates/ochrelead-diagnosis/src/lib.rs
+++ b/crates/ochrelead-diagnosis/src/lib.rs
@@ -2,7 +2,7 @@
 //! clock.
 //!
 //! - [`clocks`]: estimates the clock offset of each front and converts event times to a common clock.
-//! - [`trouble`]: the kinds of incident; an incident has an onset, an end, evidence and a confidence.
+//! - [`incident`]: the kinds of incident; an incident has an onset, an end, evidence and a confidence.
 //! - [`diagnosis`]: turns events into incidents. Gives the same result on a live stream as on a complete log.
 //!
 //! ```
@@ -11,10 +11,10 @@
 //!
 //! let mut diagnosis = Diagnosis::default();
 //! diagnosis.advance_to(Moment::from_micros(5_000_000));
-//! assert!(diagnosis.troubles().is_empty());
+//! assert!(diagnosis.incidents().is_empty());
 //! ```
 
 pub mod clocks;
 pub mod diagnosis;
+pub mod incident;
 mod statistics;
-pub mod trouble;
--- a/crates/ochrelead-diagnosis/tests/diagnosis.rs
+++ b/crates/ochrelead-diagnosis/tests/diagnosis.rs
@@ -3,7 +3,7 @@
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_diagnosis::clocks::Clocks;
 use ochrelead_diagnosis::diagnosis::Diagnosis;
-use ochrelead_diagnosis::trouble::TroubleKind;
+use ochrelead_diagnosis::incident::IncidentKind;
 use ochrelead_event_log::reader::{FrontIncarnation, Record};
 use ochrelead_event_log::schema::event::What;
 use ochrelead_event_log::schema::{
@@ -189,7 +189,7 @@
 
     /// The detected incidents: kind, subject, onset and end in milliseconds. `is_live` also lets time advance between
     /// events.
-    fn diagnose(&self, is_live: bool) -> Vec<(TroubleKind, String, u64, Option<u64>)> {
+    fn diagnose(&self, is_live: bool) -> Vec<(IncidentKind, String, u64, Option<u64>)> {
         let mut diagnosis = Diagnosis::default();
         for (index, (ms, _, record)) in self.records.iter().enumerate() {
             if is_live && index % 7 == 0 {
@@ -200,27 +200,27 @@
         diagnosis.advance_to(at(DURATION_MS + 3_000));
         let ms = |moment: Moment| moment.since(at(0)).micros() / 1_000;
         diagnosis
-            .troubles()
+            .incidents()
             .into_iter()
-            .map(|trouble| (trouble.kind, trouble.subject, ms(trouble.onset), trouble.end.map(ms)))
+            .map(|incident| (incident.kind, incident.subject, ms(incident.onset), incident.end.map(ms)))
             .collect()
     }
 }
 
-#[test_case(Fault::Slow(1), TroubleKind::Slow, "s1", 10_000, 16_000; "one slow")]
-#[test_case(Fault::Slow(2), TroubleKind::Slow, "s2", 10_000, 12_500; "one slow for two and a half seconds")]
-#[test_case(Fault::AllSlow, TroubleKind::AllSlow, "", 10_000, 16_000; "all slow")]
-#[test_case(Fault::Silent(0), TroubleKind::Silent, "s0", 10_000, 16_000; "one silent")]
-#[test_case(Fault::Lost(2), TroubleKind::AnswersLost, "s2", 10_000, 16_000; "answers lost")]
-#[test_case(Fault::LostWithEarlyRetransmission(2), TroubleKind::AnswersLost, "s2", 10_000, 16_000 => panics "(Slow, \"s2\")"; "answers lost with early retransmissions are reported as slow")]
-#[test_case(Fault::Crash(1), TroubleKind::Crashed, "s1", 10_000, 13_000; "one crashed")]
-#[test_case(Fault::Killed(3), TroubleKind::FrontKilled, "f3", 10_000, 12_000; "a front killed")]
-#[test_case(Fault::Killed(3), TroubleKind::FrontKilled, "f3", 10_000, 20_000; "a front killed for ten seconds")]
-#[test_case(Fault::Cut(2), TroubleKind::CutOff, "f2", 10_000, 15_000; "a front cut off")]
-#[test_case(Fault::Surge, TroubleKind::Overload, "", 10_000, 16_000; "a surge")]
-#[test_case(Fault::Flood, TroubleKind::HotNumber, "999", 10_000, 16_000; "one number flooded")]
-#[test_case(Fault::Redials, TroubleKind::Redials, "member 2", 10_000, 16_000; "redials of one tenant")]
-fn fault_is_detected_as_one_incident(fault: Fault, kind: TroubleKind, subject: &str, from: u64, to: u64) {
+#[test_case(Fault::Slow(1), IncidentKind::Slow, "s1", 10_000, 16_000; "one slow")]
+#[test_case(Fault::Slow(2), IncidentKind::Slow, "s2", 10_000, 12_500; "one slow for two and a half seconds")]
+#[test_case(Fault::AllSlow, IncidentKind::AllSlow, "", 10_000, 16_000; "all slow")]
+#[test_case(Fault::Silent(0), IncidentKind::Silent, "s0", 10_000, 16_000; "one silent")]
+#[test_case(Fault::Lost(2), IncidentKind::AnswersLost, "s2", 10_000, 16_000; "answers lost")]
+#[test_case(Fault::LostWithEarlyRetransmission(2), IncidentKind::AnswersLost, "s2", 10_000, 16_000 => panics "(Slow, \"s2\")"; "answers lost with early retransmissions are reported as slow")]
+#[test_case(Fault::Crash(1), IncidentKind::Crashed, "s1", 10_000, 13_000; "one crashed")]
+#[test_case(Fault::Killed(3), IncidentKind::FrontKilled, "f3", 10_000, 12_000; "a front killed")]
+#[test_case(Fault::Killed(3), IncidentKind::FrontKilled, "f3", 10_000, 20_000; "a front killed for ten seconds")]
+#[test_case(Fault::Cut(2), IncidentKind::CutOff, "f2", 10_000, 15_000; "a front cut off")]
+#[test_case(Fault::Surge, IncidentKind::Overload, "", 10_000, 16_000; "a surge")]
+#[test_case(Fault::Flood, IncidentKind::HotNumber, "999", 10_000, 16_000; "one number flooded")]
+#[test_case(Fault::Redials, IncidentKind::Redials, "member 2", 10_000, 16_000; "redials of one tenant")]
+fn fault_is_detected_as_one_incident(fault: Fault, kind: IncidentKind, subject: &str, from: u64, to: u64) {
     let found = LogBuilder::with_fault(fault, from, to).diagnose(false);
     let [(found_kind, found_subject, onset, end)] = &found[..] else { panic!("{found:?}") };
     assert_eq!((*found_kind, found_subject.as_str()), (kind, subject));
@@ -248,10 +248,10 @@
     log.records.retain(|(.., record)| !killed(record));
     log.records.extend(other.records.into_iter().filter(|(.., record)| killed(record)));
     log.records.sort_by_key(|(ms, order, _)| (*ms, *order));
-    let mut found: Vec<(TroubleKind, String)> =
+    let mut found: Vec<(IncidentKind, String)> =
         log.diagnose(false).into_iter().map(|(kind, subject, ..)| (kind, subject)).collect();
     found.sort();
-    let expected = [(TroubleKind::Silent, "s0".to_owned()), (TroubleKind::FrontKilled, "f3".to_owned())];
+    let expected = [(IncidentKind::Silent, "s0".to_owned()), (IncidentKind::FrontKilled, "f3".to_owned())];
     assert_eq!(found, expected);
 }
 
--- a/crates/ochrelead-report/src/incident_report.rs
+++ b/crates/ochrelead-report/src/incident_report.rs
@@ -6,7 +6,7 @@
 
 use ochrelead_core::time::Moment;
 use ochrelead_diagnosis::diagnosis::Diagnosis;
-use ochrelead_diagnosis::trouble::Trouble;
+use ochrelead_diagnosis::incident::Incident;
 use ochrelead_event_log::reader::{Damage, FrontIncarnation, Log};
 
 use crate::error::ReportError;
@@ -26,7 +26,7 @@
     /// The coverage of the log of each front incarnation.
     pub incarnations: Vec<IncarnationSummary>,
     /// The detected incidents, in the order of their onsets.
-    pub troubles: Vec<Trouble>,
+    pub incidents: Vec<Incident>,
     /// Counts and answer times per interval.
     pub series: TimeSeries,
     /// The sessions whose callers waited longest.
@@ -77,7 +77,7 @@
             to,
             events,
             incarnations: incarnations.into_values().collect(),
-            troubles: diagnosis.troubles(),
+            incidents: diagnosis.incidents(),
             series,
             longest_sessions: longest.into_traces(),
             damage,
--- a/crates/ochrelead-report/src/json.rs
+++ b/crates/ochrelead-report/src/json.rs
@@ -1,7 +1,7 @@
 //! Renders the diagnosis as JSON.
 
 use ochrelead_core::time::{Moment, Span};
-use ochrelead_diagnosis::trouble::Trouble;
+use ochrelead_diagnosis::incident::Incident;
 use serde_json::{Value, json};
 
 use crate::incident_report::IncidentReport;
@@ -9,13 +9,13 @@
 
 /// Renders incidents, clock offsets and gaps in the logs. Times are in microseconds since 1970 on the common clock.
 pub fn render(report: &IncidentReport) -> Value {
-    let troubles: Vec<Value> = report.troubles.iter().map(trouble).collect();
+    let incidents: Vec<Value> = report.incidents.iter().map(incident).collect();
     let incarnations: Vec<Value> = report.incarnations.iter().map(incarnation).collect();
     json!({
         "from_us": report.from.micros(),
         "to_us": report.to.micros(),
         "events": report.events,
-        "troubles": troubles,
+        "troubles": incidents,
         "lives": incarnations,
         "torn": report.damage.truncated,
         "newer": report.damage.newer,
@@ -23,15 +23,15 @@
     })
 }
 
-fn trouble(trouble: &Trouble) -> Value {
+fn incident(incident: &Incident) -> Value {
     json!({
-        "kind": trouble.kind.id(),
-        "name": trouble.kind.name(),
-        "of": trouble.subject,
-        "onset_us": trouble.onset.micros(),
-        "end_us": trouble.end.map(Moment::micros),
-        "confidence": trouble.confidence,
-        "evidence": trouble.evidence,
+        "kind": incident.kind.id(),
+        "name": incident.kind.name(),
+        "of": incident.subject,
+        "onset_us": incident.onset.micros(),
+        "end_us": incident.end.map(Moment::micros),
+        "confidence": incident.confidence,
+        "evidence": incident.evidence,
     })
 }
 
--- a/crates/ochrelead-report/src/main.rs
+++ b/crates/ochrelead-report/src/main.rs
@@ -57,20 +57,20 @@
     if arguments.json {
         println!("{:#}", json::render(&report));
     } else {
-        print_troubles(&report);
+        print_incidents(&report);
     }
     Ok(())
 }
 
 /// Prints one line for each incident.
-fn print_troubles(report: &IncidentReport) {
+fn print_incidents(report: &IncidentReport) {
     let seconds = |span: Span| span.ratio(Span::from_secs(1));
-    for trouble in &report.troubles {
-        let onset = seconds(trouble.onset.since(report.from));
-        let end = match trouble.end {
+    for incident in &report.incidents {
+        let onset = seconds(incident.onset.since(report.from));
+        let end = match incident.end {
             Some(end) => format!("{:.1}", seconds(end.since(report.from))),
             None => "lasts".to_owned(),
         };
-        println!("{onset:.1} to {end} s: {trouble}");
+        println!("{onset:.1} to {end} s: {incident}");
     }
 }
--- a/crates/ochrelead-report/src/page.rs
+++ b/crates/ochrelead-report/src/page.rs
@@ -5,7 +5,7 @@
 
 use maud::{DOCTYPE, Markup, PreEscaped, html};
 use ochrelead_core::time::Span;
-use ochrelead_diagnosis::trouble::Trouble;
+use ochrelead_diagnosis::incident::Incident;
 
 use crate::incident_report::IncidentReport;
 
@@ -36,8 +36,8 @@
         p.sub { (format!("{length:.0} s of records, from {} lives of fronts", report.incarnations.len())) }
         (summary(report))
         h2 { "Timeline of troubles" }
-        div.scroll { (plots::troubles(report)) }
-        (tables::troubles(report))
+        div.scroll { (plots::incidents(report)) }
+        (tables::incidents(report))
         h2 { "Servers" }
         p.sub { "Answer times (red, seconds), INVITEs a second (blue), the fronts' in-flight limit (green, dashed)." }
         @for (name, server) in &series.servers {
@@ -64,12 +64,12 @@
     };
     html! {
         p { (format!("Callers tried {} times; {share:.0} in 100 tries stood.", sessions.accepted)) " "
-            @if report.troubles.is_empty() { "Nothing was wrong that these records show." }
-            @else { (report.troubles.len()) " troubles were found:" } }
+            @if report.incidents.is_empty() { "Nothing was wrong that these records show." }
+            @else { (report.incidents.len()) " troubles were found:" } }
         ul {
-            @for trouble in &report.troubles {
+            @for incident in &report.incidents {
                 li {
-                    strong { (format!("{:.1} s", seconds(trouble.onset.since(report.from)))) } " " (sentence(trouble))
+                    strong { (format!("{:.1} s", seconds(incident.onset.since(report.from)))) } " " (sentence(incident))
                 }
             }
         }
@@ -77,13 +77,13 @@
 }
 
 /// Describes an incident in a sentence.
-fn sentence(trouble: &Trouble) -> String {
-    let duration = match trouble.end {
-        Some(end) => format!("for {:.1} s", seconds(end.since(trouble.onset))),
+fn sentence(incident: &Incident) -> String {
+    let duration = match incident.end {
+        Some(end) => format!("for {:.1} s", seconds(end.since(incident.onset))),
         None => "and it lasts".to_owned(),
     };
-    let subject = if trouble.subject.is_empty() { String::new() } else { format!("{}: ", trouble.subject) };
-    format!("{subject}{} {duration}; {}.", trouble.kind.name(), trouble.evidence)
+    let subject = if incident.subject.is_empty() { String::new() } else { format!("{}: ", incident.subject) };
+    format!("{subject}{} {duration}; {}.", incident.kind.name(), incident.evidence)
 }
 
 /// Lists the longest sessions with their steps.
--- a/crates/ochrelead-report/src/page/plots.rs
+++ b/crates/ochrelead-report/src/page/plots.rs
@@ -2,7 +2,7 @@
 
 use maud::{Markup, html};
 use ochrelead_core::time::{Moment, Span};
-use ochrelead_diagnosis::trouble::Trouble;
+use ochrelead_diagnosis::incident::Incident;
 
 use crate::incident_report::IncidentReport;
 use crate::page::{seconds, sentence};
@@ -13,7 +13,7 @@
 /// The x position of the start of the time axis. Labels are to the left of it.
 const AXIS_LEFT: f64 = 150.0;
 /// The height of a row in the timeline of incidents.
-const TROUBLE_ROW_HEIGHT: f64 = 20.0;
+const INCIDENT_ROW_HEIGHT: f64 = 20.0;
 /// The height of a row in the plot of fronts.
 const FRONT_ROW_HEIGHT: f64 = 14.0;
 /// The height of the lines of a server's plot, above the axis.
@@ -53,28 +53,28 @@
 }
 
 /// Plots the timeline of incidents, from onset to end.
-pub(super) fn troubles(report: &IncidentReport) -> Markup {
+pub(super) fn incidents(report: &IncidentReport) -> Markup {
     let length = seconds(report.to.since(report.from));
-    let height = report.troubles.len() as f64 * TROUBLE_ROW_HEIGHT + TROUBLE_ROW_HEIGHT;
+    let height = report.incidents.len() as f64 * INCIDENT_ROW_HEIGHT + INCIDENT_ROW_HEIGHT;
     let position = |time: Moment| axis_position(seconds(time.since(report.from)), length);
     html! {
         svg viewBox=(format!("0 0 {WIDTH} {height}")) role="img" aria-label="timeline of troubles" {
             (axis(length, height))
-            @for (row, trouble) in report.troubles.iter().enumerate() {
-                @let (left, right) = (position(trouble.onset), position(trouble.end.unwrap_or(report.to)));
-                @let top = row as f64 * TROUBLE_ROW_HEIGHT + 3.0;
-                text x="0" y=(top + 11.0) { (trouble_label(trouble)) }
+            @for (row, incident) in report.incidents.iter().enumerate() {
+                @let (left, right) = (position(incident.onset), position(incident.end.unwrap_or(report.to)));
+                @let top = row as f64 * INCIDENT_ROW_HEIGHT + 3.0;
+                text x="0" y=(top + 11.0) { (incident_label(incident)) }
                 rect.bar x=(left) y=(top) width=((right - left).max(2.0)) height="14" rx="2" {
-                    title { (sentence(trouble)) }
+                    title { (sentence(incident)) }
                 }
             }
         }
     }
 }
 
-fn trouble_label(trouble: &Trouble) -> String {
-    let subject = trouble.subject.split('.').next().unwrap_or("");
-    let text = format!("{subject} {}", trouble.kind.short_name());
+fn incident_label(incident: &Incident) -> String {
+    let subject = incident.subject.split('.').next().unwrap_or("");
+    let text = format!("{subject} {}", incident.kind.short_name());
     text.trim().chars().take(MAX_LABEL_LENGTH).collect()
 }
 
--- a/crates/ochrelead-report/src/page/tables.rs
+++ b/crates/ochrelead-report/src/page/tables.rs
@@ -11,21 +11,21 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// The table of incidents.
-pub(super) fn troubles(report: &IncidentReport) -> Markup {
+pub(super) fn incidents(report: &IncidentReport) -> Markup {
     let from = report.from;
     html! {
         table {
             tr { th { "Trouble" } th { "Of" } th.num { "From" } th.num { "To" } th.num { "Sure" } th { "Seen" } }
-            @for trouble in &report.troubles {
+            @for incident in &report.incidents {
                 tr {
-                    td { (trouble.kind.name()) }
-                    td { (trouble.subject) }
-                    td.num { (format!("{:.1} s", seconds(trouble.onset.since(from)))) }
+                    td { (incident.kind.name()) }
+                    td { (incident.subject) }
+                    td.num { (format!("{:.1} s", seconds(incident.onset.since(from)))) }
                     td.num {
-                        (trouble.end.map_or("lasts".to_owned(), |end| format!("{:.1} s", seconds(end.since(from)))))
+                        (incident.end.map_or("lasts".to_owned(), |end| format!("{:.1} s", seconds(end.since(from)))))
                     }
-                    td.num { (format!("{:.0} %", trouble.confidence * 100.0)) }
-                    td.faint { (trouble.evidence) }
+                    td.num { (format!("{:.0} %", incident.confidence * 100.0)) }
+                    td.faint { (incident.evidence) }
                 }
             }
         }
--- a/crates/ochrelead-report/tests/report.rs
+++ b/crates/ochrelead-report/tests/report.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use ochrelead_core::time::Moment;
-use ochrelead_diagnosis::trouble::{Trouble, TroubleKind};
+use ochrelead_diagnosis::incident::{Incident, IncidentKind};
 use ochrelead_event_log::reader::{Damage, FrontIncarnation, Log, Record};
 use ochrelead_event_log::schema::event::What;
 use ochrelead_event_log::schema::{Event, Invite, Outlook, Stands, Taken, Told};
@@ -107,8 +107,8 @@
 #[test_case(-3_000; "with one clock three seconds slow")]
 fn crash_is_detected_despite_clock_offset(clock_offset_ms: i64) {
     let report = report_on(records(clock_offset_ms, 0..0));
-    let crashes: Vec<_> = report.troubles.iter().filter(|trouble| trouble.subject == "s1").collect();
-    assert_eq!(crashes.len(), 1, "{:?}", report.troubles);
+    let crashes: Vec<_> = report.incidents.iter().filter(|incident| incident.subject == "s1").collect();
+    assert_eq!(crashes.len(), 1, "{:?}", report.incidents);
     let onset_ms = crashes[0].onset.since(report.from).micros() / 1_000;
     assert!((7_000..13_000).contains(&onset_ms), "onset at {onset_ms} ms");
     let offsets_ms: Vec<i64> =
@@ -180,20 +180,20 @@
 fn json_of_each_incident_kind_equals_the_stored_text() {
     let mut report = report_on(records(0, 0..0));
     let kinds = [
-        TroubleKind::Slow,
-        TroubleKind::AllSlow,
-        TroubleKind::Silent,
-        TroubleKind::Crashed,
-        TroubleKind::Replaced,
-        TroubleKind::AnswersLost,
-        TroubleKind::CutOff,
-        TroubleKind::FrontKilled,
-        TroubleKind::FrontStalled,
-        TroubleKind::Redials,
-        TroubleKind::HotNumber,
-        TroubleKind::Overload,
+        IncidentKind::Slow,
+        IncidentKind::AllSlow,
+        IncidentKind::Silent,
+        IncidentKind::Crashed,
+        IncidentKind::Replaced,
+        IncidentKind::AnswersLost,
+        IncidentKind::CutOff,
+        IncidentKind::FrontKilled,
+        IncidentKind::FrontStalled,
+        IncidentKind::Redials,
+        IncidentKind::HotNumber,
+        IncidentKind::Overload,
     ];
-    let trouble = |kind| Trouble {
+    let incident = |kind| Incident {
         kind,
         subject: "s1".to_owned(),
         onset: Moment::from_micros(5),
@@ -201,7 +201,7 @@
         confidence: 0.5,
         evidence: "seen".to_owned(),
     };
-    report.troubles = kinds.into_iter().map(trouble).collect();
+    report.incidents = kinds.into_iter().map(incident).collect();
     let written = format!("{:#}\n", json::render(&report)["troubles"]);
     assert_eq!(written, stored("kinds.json"));
 }
--- a/crates/ochrelead-scenario/src/detection/expected.rs
+++ b/crates/ochrelead-scenario/src/detection/expected.rs
@@ -2,7 +2,7 @@
 
 use ochrelead_config::faults::{FaultKind, InjectedFault};
 use ochrelead_config::scenario::Scenario;
-use ochrelead_diagnosis::trouble::TroubleKind;
+use ochrelead_diagnosis::incident::IncidentKind;
 
 use super::ScriptedTrouble;
 use crate::participant::{front_name, server_name};
@@ -28,9 +28,9 @@
     };
     let of_fleet = |kind| vec![trouble((kind, String::new()))];
     match fault.kind {
-        FaultKind::AllSlow => of_fleet(TroubleKind::AllSlow),
-        FaultKind::HotNumber => of_fleet(TroubleKind::HotNumber),
-        FaultKind::Surge if exceeds_capacity(scenario, fault.magnitude) => of_fleet(TroubleKind::Overload),
+        FaultKind::AllSlow => of_fleet(IncidentKind::AllSlow),
+        FaultKind::HotNumber => of_fleet(IncidentKind::HotNumber),
+        FaultKind::Surge if exceeds_capacity(scenario, fault.magnitude) => of_fleet(IncidentKind::Overload),
         FaultKind::Surge => Vec::new(),
         kind => {
             let of_targets = fault.targets.iter().filter_map(|target| target_trouble(kind, *target));
@@ -40,17 +40,17 @@
 }
 
 /// What a fault is at one of its targets, if it is a trouble there: the kind, and the target's name.
-fn target_trouble(kind: FaultKind, target: usize) -> Option<(TroubleKind, String)> {
+fn target_trouble(kind: FaultKind, target: usize) -> Option<(IncidentKind, String)> {
     match kind {
-        FaultKind::Crash | FaultKind::Vanish => Some((TroubleKind::Crashed, server_name(target))),
-        FaultKind::Silent => Some((TroubleKind::Silent, server_name(target))),
-        FaultKind::Slow => Some((TroubleKind::Slow, server_name(target))),
-        FaultKind::Replaced => Some((TroubleKind::Replaced, server_name(target))),
-        FaultKind::AnswersLost => Some((TroubleKind::AnswersLost, server_name(target))),
-        FaultKind::FrontKilled => Some((TroubleKind::FrontKilled, front_name(target))),
-        FaultKind::FrontStall => Some((TroubleKind::FrontStalled, front_name(target))),
-        FaultKind::LinkCut => Some((TroubleKind::CutOff, front_name(target))),
-        FaultKind::Redials => Some((TroubleKind::Redials, format!("member {}", target + 1))),
+        FaultKind::Crash | FaultKind::Vanish => Some((IncidentKind::Crashed, server_name(target))),
+        FaultKind::Silent => Some((IncidentKind::Silent, server_name(target))),
+        FaultKind::Slow => Some((IncidentKind::Slow, server_name(target))),
+        FaultKind::Replaced => Some((IncidentKind::Replaced, server_name(target))),
+        FaultKind::AnswersLost => Some((IncidentKind::AnswersLost, server_name(target))),
+        FaultKind::FrontKilled => Some((IncidentKind::FrontKilled, front_name(target))),
+        FaultKind::FrontStall => Some((IncidentKind::FrontStalled, front_name(target))),
+        FaultKind::LinkCut => Some((IncidentKind::CutOff, front_name(target))),
+        FaultKind::Redials => Some((IncidentKind::Redials, format!("member {}", target + 1))),
         _ => None,
     }
 }
--- a/crates/ochrelead-scenario/src/detection/mod.rs
+++ b/crates/ochrelead-scenario/src/detection/mod.rs
@@ -9,7 +9,7 @@
 
 use ochrelead_config::scenario::Scenario;
 use ochrelead_core::time::{Moment, Span};
-use ochrelead_diagnosis::trouble::{Trouble, TroubleKind};
+use ochrelead_diagnosis::incident::{Incident, IncidentKind};
 use ochrelead_event_log::reader::{Damage, Log, open_logs};
 use ochrelead_report::incident_report::IncidentReport;
 use thiserror::Error;
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScriptedTrouble {
     /// What the diagnosis should call it.
-    pub kind: TroubleKind,
+    pub kind: IncidentKind,
     /// The server, front or member concerned; empty where it is the fleet.
     pub subject: String,
     /// When it begins, from the scenario's start.
@@ -34,7 +34,7 @@
     /// How long it lasts.
     pub duration: Span,
     /// What the diagnosis made of it; none where it was missed.
-    pub detected: Option<Trouble>,
+    pub detected: Option<Incident>,
 }
 
 /// The result for one scenario. Moments of troubles are counted from the scenario's start.
@@ -43,7 +43,7 @@
     /// The script's troubles.
     pub scripted: Vec<ScriptedTrouble>,
     /// Troubles that were detected, but are in no script.
-    pub false_positives: Vec<Trouble>,
+    pub false_positives: Vec<Incident>,
 }
 
 /// Why the event logs of a run can't be compared with its script.
@@ -89,7 +89,7 @@
     let clock_offset_us = incident.incarnations.last().map_or(0, |summary| summary.clock_offset_us);
     let start = Moment::from_micros(start.micros().saturating_add_signed(clock_offset_us));
     let since_start = |moment: Moment| Moment::START + moment.since(start);
-    let troubles = incident.troubles.into_iter().map(|trouble| Trouble {
+    let troubles = incident.incidents.into_iter().map(|trouble| Incident {
         onset: since_start(trouble.onset),
         end: trouble.end.map(since_start),
         ..trouble
@@ -97,7 +97,7 @@
     match_troubles(scenario, troubles.collect())
 }
 
-fn match_troubles(scenario: &Scenario, mut troubles: Vec<Trouble>) -> DetectionResult {
+fn match_troubles(scenario: &Scenario, mut troubles: Vec<Incident>) -> DetectionResult {
     let mut scripted = expected::scripted_troubles(scenario);
     let scenario_end = Moment::START + scenario.duration;
     for expected in &mut scripted {
@@ -107,7 +107,7 @@
     }
     // Where more is offered than all servers together can carry, a detected overload is never wrong.
     let is_overloaded = expected::exceeds_capacity(scenario, 1.0);
-    troubles.retain(|trouble| !(is_overloaded && trouble.kind == TroubleKind::Overload));
+    troubles.retain(|trouble| !(is_overloaded && trouble.kind == IncidentKind::Overload));
     DetectionResult { scripted, false_positives: troubles }
 }
 
@@ -117,8 +117,8 @@
         Moment::START + self.start
     }
 
-    fn is_matched(&self, trouble: &Trouble, scenario_end: Moment) -> bool {
-        let has_subject = trouble.subject == self.subject || self.kind == TroubleKind::HotNumber;
+    fn is_matched(&self, trouble: &Incident, scenario_end: Moment) -> bool {
+        let has_subject = trouble.subject == self.subject || self.kind == IncidentKind::HotNumber;
         let end = trouble.end.unwrap_or(scenario_end);
         trouble.kind == self.kind
             && has_subject
@@ -159,7 +159,7 @@
 }
 
 /// Adds the result of a scenario to the tallies.
-pub fn add_to_tallies(tallies: &mut BTreeMap<TroubleKind, DetectionTally>, result: &DetectionResult) {
+pub fn add_to_tallies(tallies: &mut BTreeMap<IncidentKind, DetectionTally>, result: &DetectionResult) {
     for scripted in &result.scripted {
         let tally = tallies.entry(scripted.kind).or_default();
         tally.scripted += 1;
--- a/crates/ochrelead-scenario/src/report.rs
+++ b/crates/ochrelead-scenario/src/report.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use ochrelead_core::time::{Moment, Span};
-use ochrelead_diagnosis::trouble::{Trouble, TroubleKind};
+use ochrelead_diagnosis::incident::{Incident, IncidentKind};
 use ochrelead_scenario::audit::{Rule, ServiceLevel, Verdict};
 use ochrelead_scenario::detection::{DetectionResult, DetectionTally, ScriptedTrouble};
 use ochrelead_scenario::load::{FLEET_SESSIONS_PER_S, LoadStep, Subject};
@@ -115,7 +115,7 @@
     println!("{} {}: scripted {start:.1} to {end:.1}, {result}", scripted.kind.name(), scripted.subject);
 }
 
-fn end_of(trouble: &Trouble) -> String {
+fn end_of(trouble: &Incident) -> String {
     trouble.end.map_or("lasts".to_owned(), |end| format!("{:.1}", seconds_at(end)))
 }
 
@@ -128,7 +128,7 @@
 }
 
 /// What was detected of many scenarios, by kind.
-pub(crate) fn print_detection_tallies(tallies: &BTreeMap<TroubleKind, DetectionTally>) {
+pub(crate) fn print_detection_tallies(tallies: &BTreeMap<IncidentKind, DetectionTally>) {
     println!("\n{:<38} {:>8} {:>6} {:>9} {:>9}", "kind", "scripted", "found", "invented", "onset off");
     for (kind, tally) in tallies {
         let DetectionTally { scripted, detected, false_positives, .. } = tally;
--- a/crates/ochrelead-sim/tests/console.rs
+++ b/crates/ochrelead-sim/tests/console.rs
@@ -40,7 +40,7 @@
         }
         fleet.process(now.since(last));
         if fleet
-            .ongoing_troubles()
+            .ongoing_incidents()
             .iter()
             .any(|trouble| trouble.kind.short_name() == "silent" && trouble.subject == name)
         {
