--- a/crates/ochrelead-diagnosis/src/diagnosis/answer_times.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis/answer_times.rs
@@ -14,9 +14,10 @@
 const MIN_USUAL_DEMAND: f64 = 0.6;
 /// The starts or silence of servers explain late answers elsewhere if they affect at least one server in this many.
 const AFTERMATH_SERVERS: usize = 5;
-/// Of several late servers, the only one below this share of its usual load is the slow one ...
+/// Of several late servers, the one below this share of its usual load is the slow one, provided that all others are at
+/// or above `UNREDUCED_SHARE`.
 const REDUCED_SHARE: f64 = 0.8;
-/// ... if all others are at or above this share of theirs.
+/// A late server at or above this share of its usual load keeps its load.
 const UNREDUCED_SHARE: f64 = 0.9;
 /// A late server below this share of its usual load is slow: no other cause explains it.
 const SMALL_SHARE: f64 = 0.5;
--- a/crates/ochrelead-diagnosis/src/diagnosis/server_survey.rs
+++ b/crates/ochrelead-diagnosis/src/diagnosis/server_survey.rs
@@ -7,11 +7,11 @@
 
 /// The number of answers that an evaluation of a server requires.
 const MIN_ANSWERS: usize = 5;
-/// Slow: the median answer time is above this multiple of the usual one ...
+/// A server is slow if its median answer time is above this multiple of the usual one and `MIN_SLOWDOWN_S` above it.
 const SLOW_MULTIPLE: f64 = 2.5;
-/// ... and also this many seconds above it.
+/// The minimum excess over the usual answer time that makes a server slow, in seconds.
 const MIN_SLOWDOWN_S: f64 = 0.16;
-/// Healthy: the median answer time is below this multiple of the usual one.
+/// A server is healthy if its median answer time is below this multiple of the usual one.
 const HEALTHY_MULTIPLE: f64 = 1.5;
 /// Demand above this multiple of the usual rate is a surge, which explains late answers.
 pub(super) const SURGE_MULTIPLE: f64 = 1.3;
--- a/crates/ochrelead-diagnosis/src/lib.rs
+++ b/crates/ochrelead-diagnosis/src/lib.rs
@@ -1,5 +1,4 @@
-//! Detects incidents from the event logs of all fronts: what went wrong, when and where. Does no I/O and reads no
-//! clock.
+//! Detects incidents from the event logs of all fronts. Does no I/O and reads no clock.
 //!
 //! - [`clocks`]: estimates the clock offset of each front and converts event times to a common clock.
 //! - [`incident`]: the kinds of incident; an incident has an onset, an end, evidence and a confidence.
