--- a/crates/ochrelead-report/src/json.rs
+++ b/crates/ochrelead-report/src/json.rs
@@ -1,37 +1,37 @@
-//! The diagnosis for machines.
+//! Renders the diagnosis as JSON.
 
 use ochrelead_core::time::{Moment, Span};
-use ochrelead_diagnosis::trouble::Trouble;
+use ochrelead_diagnosis::incident::Incident;
 use serde_json::{Value, json};
 
-use crate::incident::Incident;
+use crate::incident_report::IncidentReport;
 use crate::survey::IncarnationSummary;
 
-/// Troubles, clocks and gaps; moments in microseconds since 1970 on the common clock.
-pub fn render(incident: &Incident) -> Value {
-    let troubles: Vec<Value> = incident.troubles.iter().map(trouble).collect();
-    let incarnations: Vec<Value> = incident.incarnations.iter().map(incarnation).collect();
+/// Renders incidents, clock offsets and gaps in the logs. Times are in microseconds since 1970 on the common clock.
+pub fn render(report: &IncidentReport) -> Value {
+    let incidents: Vec<Value> = report.incidents.iter().map(incident).collect();
+    let incarnations: Vec<Value> = report.incarnations.iter().map(incarnation).collect();
     json!({
-        "from_us": incident.from.micros(),
-        "to_us": incident.to.micros(),
-        "events": incident.events,
-        "troubles": troubles,
+        "from_us": report.from.micros(),
+        "to_us": report.to.micros(),
+        "events": report.events,
+        "troubles": incidents,
         "lives": incarnations,
-        "torn": incident.damage.truncated,
-        "newer": incident.damage.newer,
-        "foreign": incident.damage.foreign,
+        "torn": report.damage.truncated,
+        "newer": report.damage.newer,
+        "foreign": report.damage.foreign,
     })
 }
 
-fn trouble(trouble: &Trouble) -> Value {
+fn incident(incident: &Incident) -> Value {
     json!({
-        "kind": trouble.kind.id(),
-        "name": trouble.kind.name(),
-        "of": trouble.subject,
-        "onset_us": trouble.onset.micros(),
-        "end_us": trouble.end.map(Moment::micros),
-        "confidence": trouble.confidence,
-        "evidence": trouble.evidence,
+        "kind": incident.kind.id(),
+        "name": incident.kind.name(),
+        "of": incident.subject,
+        "onset_us": incident.onset.micros(),
+        "end_us": incident.end.map(Moment::micros),
+        "confidence": incident.confidence,
+        "evidence": incident.evidence,
     })
 }
 
--- a/crates/ochrelead-report/src/main.rs
+++ b/crates/ochrelead-report/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `ochrelead-report`.
+//! The program `ochrelead-report`: reports on incidents from event logs.
 
 use std::fs;
 use std::path::PathBuf;
@@ -7,10 +7,10 @@
 use clap::Parser;
 use ochrelead_core::time::Span;
 use ochrelead_report::error::ReportError;
-use ochrelead_report::incident::Incident;
+use ochrelead_report::incident_report::IncidentReport;
 use ochrelead_report::{export, json, page};
 
-/// Explains what happened, from the fronts' own records.
+/// Reports on incidents from the event logs of the fronts
 #[derive(Parser)]
 #[command(
     version,
@@ -19,21 +19,21 @@
   ochrelead-report front-a/records front-b/records --json"
 )]
 struct Arguments {
-    /// Folders of records
+    /// Records folders of the fronts
     #[arg(required = true, value_name = "DIR")]
     folders: Vec<PathBuf>,
-    /// One self-contained page
+    /// Write a self-contained HTML page to this file
     #[arg(long, value_name = "FILE")]
     out: Option<PathBuf>,
-    /// All events as a Parquet table
+    /// Write all events to this file as a Parquet table
     #[arg(long, value_name = "FILE")]
     parquet: Option<PathBuf>,
-    /// The diagnosis for machines, to standard output
+    /// Print the diagnosis as JSON instead of text
     #[arg(long)]
     json: bool,
 }
 
-/// The exit code where a folder can't be read or a file not be written.
+/// The exit code if a folder can't be read or a file can't be written.
 const EXIT_FAILED: u8 = 2;
 
 fn main() -> ExitCode {
@@ -47,30 +47,30 @@
 }
 
 fn run(arguments: &Arguments) -> Result<(), ReportError> {
-    let incident = Incident::read(&arguments.folders)?;
+    let report = IncidentReport::read(&arguments.folders)?;
     if let Some(path) = &arguments.out {
-        fs::write(path, page::render(&incident)).map_err(|error| ReportError::io(path, error))?;
+        fs::write(path, page::render(&report)).map_err(|error| ReportError::io(path, error))?;
     }
     if let Some(path) = &arguments.parquet {
         export::export(&arguments.folders, path)?;
     }
     if arguments.json {
-        println!("{:#}", json::render(&incident));
+        println!("{:#}", json::render(&report));
     } else {
-        print_troubles(&incident);
+        print_incidents(&report);
     }
     Ok(())
 }
 
-/// Prints a line for each trouble.
-fn print_troubles(incident: &Incident) {
+/// Prints one line for each incident.
+fn print_incidents(report: &IncidentReport) {
     let seconds = |span: Span| span.ratio(Span::from_secs(1));
-    for trouble in &incident.troubles {
-        let onset = seconds(trouble.onset.since(incident.from));
-        let end = match trouble.end {
-            Some(end) => format!("{:.1}", seconds(end.since(incident.from))),
+    for incident in &report.incidents {
+        let onset = seconds(incident.onset.since(report.from));
+        let end = match incident.end {
+            Some(end) => format!("{:.1}", seconds(end.since(report.from))),
             None => "lasts".to_owned(),
         };
-        println!("{onset:.1} to {end} s: {trouble}");
+        println!("{onset:.1} to {end} s: {incident}");
     }
 }
--- a/crates/ochrelead-report/src/page/tables.rs
+++ b/crates/ochrelead-report/src/page/tables.rs
@@ -1,8 +1,8 @@
-//! The page's tables.
+//! Renders the tables of the page.
 
 use maud::{Markup, html};
 
-use crate::incident::Incident;
+use crate::incident_report::IncidentReport;
 use crate::page::seconds;
 use crate::readable_name;
 use crate::survey::IncarnationSummary;
@@ -10,29 +10,29 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// All troubles.
-pub(super) fn troubles(incident: &Incident) -> Markup {
-    let from = incident.from;
+/// The table of incidents.
+pub(super) fn incidents(report: &IncidentReport) -> Markup {
+    let from = report.from;
     html! {
         table {
             tr { th { "Trouble" } th { "Of" } th.num { "From" } th.num { "To" } th.num { "Sure" } th { "Seen" } }
-            @for trouble in &incident.troubles {
+            @for incident in &report.incidents {
                 tr {
-                    td { (trouble.kind.name()) }
-                    td { (trouble.subject) }
-                    td.num { (format!("{:.1} s", seconds(trouble.onset.since(from)))) }
+                    td { (incident.kind.name()) }
+                    td { (incident.subject) }
+                    td.num { (format!("{:.1} s", seconds(incident.onset.since(from)))) }
                     td.num {
-                        (trouble.end.map_or("lasts".to_owned(), |end| format!("{:.1} s", seconds(end.since(from)))))
+                        (incident.end.map_or("lasts".to_owned(), |end| format!("{:.1} s", seconds(end.since(from)))))
                     }
-                    td.num { (format!("{:.0} %", trouble.confidence * 100.0)) }
-                    td.faint { (trouble.evidence) }
+                    td.num { (format!("{:.0} %", incident.confidence * 100.0)) }
+                    td.faint { (incident.evidence) }
                 }
             }
         }
     }
 }
 
-/// The share of sessions that were established, by service and by member.
+/// The share of sessions that were established, by service and by tenant.
 pub(super) fn service(series: &TimeSeries) -> Markup {
     html! {
         table {
@@ -40,8 +40,8 @@
             @for (service, counts) in &series.services {
                 tr { td { "service " (service + 1) } (session_cells(*counts)) }
             }
-            @for (member, counts) in &series.members {
-                tr { td { @if *member == 0 { "no member" } @else { "member " (member) } } (session_cells(*counts)) }
+            @for (tenant, counts) in &series.tenants {
+                tr { td { @if *tenant == 0 { "no member" } @else { "member " (tenant) } } (session_cells(*counts)) }
             }
         }
     }
@@ -56,12 +56,12 @@
     }
 }
 
-/// How often sessions were rejected, INVITEs failed and re-sends were granted, by cause.
+/// The numbers of rejected sessions, failed INVITEs and granted re-sends, by cause.
 pub(super) fn outcomes(series: &TimeSeries) -> Markup {
     let groups = [
-        ("given up", &series.denials),
-        ("INVITE ended", &series.endings),
-        ("re-send paid by", &series.payments),
+        ("given up", &series.rejections),
+        ("INVITE ended", &series.invite_failures),
+        ("re-send paid by", &series.resend_grants),
     ];
     html! {
         table {
@@ -74,10 +74,10 @@
     }
 }
 
-/// The fronts whose clocks were moved or whose events are not all there.
-pub(super) fn clocks(incident: &Incident) -> Markup {
+/// The fronts whose clocks were corrected or whose events are incomplete.
+pub(super) fn clocks(report: &IncidentReport) -> Markup {
     let notable: Vec<&IncarnationSummary> =
-        incident.incarnations.iter().filter(|summary| is_notable(summary)).collect();
+        report.incarnations.iter().filter(|summary| is_notable(summary)).collect();
     html! {
         @if !notable.is_empty() {
             table {
@@ -86,8 +86,8 @@
                 @for summary in notable { (clock_row(summary)) }
             }
         }
-        @if !incident.unsynchronized.is_empty() {
-            p { "Nothing ties the clocks of " (incident.unsynchronized.len()) " lives to the others': their order against them is not known." }
+        @if !report.unsynchronized.is_empty() {
+            p { "Nothing ties the clocks of " (report.unsynchronized.len()) " lives to the others': their order against them is not known." }
         }
     }
 }
@@ -114,9 +114,9 @@
     }
 }
 
-/// What of the logs could not be read.
-pub(super) fn damage(incident: &Incident) -> Markup {
-    let damage = &incident.damage;
+/// The parts of the logs that could not be read.
+pub(super) fn damage(report: &IncidentReport) -> Markup {
+    let damage = &report.damage;
     html! {
         @for (name, bytes) in &damage.truncated { p.sub { (name) ": " (bytes) " bytes at the end were torn." } }
         @for (name, version) in &damage.newer { p.sub { (name) " was written by a newer version (" (version) ")." } }
--- a/crates/ochrelead-report/tests/report.rs
+++ b/crates/ochrelead-report/tests/report.rs
@@ -1,4 +1,4 @@
-//! The page and the JSON of a small incident.
+//! The page and the JSON report of a small generated log.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -6,20 +6,20 @@
 use std::process::Command;
 
 use ochrelead_core::time::Moment;
-use ochrelead_diagnosis::trouble::{Trouble, TroubleKind};
+use ochrelead_diagnosis::incident::{Incident, IncidentKind};
 use ochrelead_event_log::reader::{Damage, FrontIncarnation, Log, Record};
 use ochrelead_event_log::schema::event::What;
 use ochrelead_event_log::schema::{Event, Invite, Outlook, Stands, Taken, Told};
-use ochrelead_report::incident::Incident;
+use ochrelead_report::incident_report::IncidentReport;
 use ochrelead_report::{json, page};
 use test_case::test_case;
 
-/// The records of two fronts, as they are written.
+/// Builds the records of two fronts.
 struct RecordsBuilder {
-    /// How far the second front's clock is off.
-    off_ms: i64,
-    /// When events of the second front are cut out.
-    cut: std::ops::Range<u64>,
+    /// How far the second front's clock is ahead, in milliseconds.
+    clock_offset_ms: i64,
+    /// The time in milliseconds during which events of the second front are missing.
+    missing_ms: std::ops::Range<u64>,
     sequences: [u64; 2],
     records: Vec<Record>,
 }
@@ -28,11 +28,11 @@
     fn push(&mut self, ms: u64, front: usize, what: What) {
         let sequence = self.sequences[front];
         self.sequences[front] += 1;
-        if front == 1 && self.cut.contains(&ms) {
+        if front == 1 && self.missing_ms.contains(&ms) {
             return;
         }
-        let off = if front == 1 { self.off_ms } else { 0 };
-        let at_us = (1_000_000 + ms).saturating_add_signed(off) * 1_000;
+        let offset_ms = if front == 1 { self.clock_offset_ms } else { 0 };
+        let at_us = (1_000_000 + ms).saturating_add_signed(offset_ms) * 1_000;
         self.records.push(Record {
             incarnation: FrontIncarnation { front: format!("f{front}"), started_us: 1 },
             event: Event { at_us, nth: sequence, what: Some(what) },
@@ -41,10 +41,9 @@
     }
 }
 
-/// Two fronts; one server crashes at 10 s and is back at 12 s. The second front's clock is off, and events of it
-/// may be cut out.
-fn records(off_ms: i64, cut: std::ops::Range<u64>) -> Vec<Record> {
-    let mut builder = RecordsBuilder { off_ms, cut, sequences: [0, 0], records: Vec::new() };
+/// The records of two fronts. Server s1 crashes at 10 s and restarts at 12 s; server s9 announces a start at 20 s.
+fn records(clock_offset_ms: i64, missing_ms: std::ops::Range<u64>) -> Vec<Record> {
+    let mut builder = RecordsBuilder { clock_offset_ms, missing_ms, sequences: [0, 0], records: Vec::new() };
     for session in 0..600_u64 {
         let (ms, front, server) = (session * 50, (session % 2) as usize, session / 2 % 2);
         let (tried, name) = (format!("{session:x}"), format!("s{server}"));
@@ -91,7 +90,7 @@
     builder.records
 }
 
-fn incident(records: Vec<Record>) -> Incident {
+fn report_on(records: Vec<Record>) -> IncidentReport {
     let mut by_incarnation: BTreeMap<FrontIncarnation, Vec<Record>> = BTreeMap::new();
     for record in records {
         by_incarnation.entry(record.incarnation.clone()).or_default().push(record);
@@ -100,37 +99,37 @@
         .into_iter()
         .map(|(incarnation, records)| Log::from_records(incarnation, records))
         .collect();
-    Incident::from_logs(&logs, Damage::default())
+    IncidentReport::from_logs(&logs, Damage::default())
 }
 
-#[test_case(0; "clocks that agree")]
-#[test_case(40_000; "one forty seconds fast")]
-#[test_case(-3_000; "one three seconds slow")]
-fn the_crash_is_found_whatever_the_clocks(off_ms: i64) {
-    let incident = incident(records(off_ms, 0..0));
-    let crash: Vec<_> = incident.troubles.iter().filter(|trouble| trouble.subject == "s1").collect();
-    assert_eq!(crash.len(), 1, "{:?}", incident.troubles);
-    let onset = crash[0].onset.since(incident.from).micros() / 1_000;
-    assert!((7_000..13_000).contains(&onset), "{onset}");
-    let moved: Vec<i64> =
-        incident.incarnations.iter().map(|summary| summary.clock_offset_us / 1_000).collect();
-    let gap = moved[1] - moved[0];
-    assert!((gap + off_ms).abs() <= 100, "{moved:?}");
+#[test_case(0; "with equal clocks")]
+#[test_case(40_000; "with one clock forty seconds fast")]
+#[test_case(-3_000; "with one clock three seconds slow")]
+fn crash_is_detected_despite_clock_offset(clock_offset_ms: i64) {
+    let report = report_on(records(clock_offset_ms, 0..0));
+    let crashes: Vec<_> = report.incidents.iter().filter(|incident| incident.subject == "s1").collect();
+    assert_eq!(crashes.len(), 1, "{:?}", report.incidents);
+    let onset_ms = crashes[0].onset.since(report.from).micros() / 1_000;
+    assert!((7_000..13_000).contains(&onset_ms), "onset at {onset_ms} ms");
+    let offsets_ms: Vec<i64> =
+        report.incarnations.iter().map(|summary| summary.clock_offset_us / 1_000).collect();
+    let difference_ms = offsets_ms[1] - offsets_ms[0];
+    assert!((difference_ms + clock_offset_ms).abs() <= 100, "{offsets_ms:?}");
 }
 
 #[test]
-fn what_was_cut_out_is_counted() {
-    let incident = incident(records(0, 15_000..18_000));
-    let missing: Vec<u64> = incident.incarnations.iter().map(|summary| summary.missing_events).collect();
+fn missing_events_are_counted_and_shown() {
+    let report = report_on(records(0, 15_000..18_000));
+    let missing: Vec<u64> = report.incarnations.iter().map(|summary| summary.missing_events).collect();
     assert!(missing[0] == 0 && missing[1] > 50, "{missing:?}");
-    assert!(page::render(&incident).contains(&missing[1].to_string()));
+    assert!(page::render(&report).contains(&missing[1].to_string()));
 }
 
 #[test]
-fn the_page_stands_alone_and_tells_the_story() {
-    let page = page::render(&incident(records(0, 0..0)));
-    for elsewhere in ["http:", "https:", "<script", "src=", "@import", "url("] {
-        assert!(!page.contains(elsewhere), "{elsewhere}");
+fn page_is_self_contained_and_describes_the_crash() {
+    let page = page::render(&report_on(records(0, 0..0)));
+    for external in ["http:", "https:", "<script", "src=", "@import", "url("] {
+        assert!(!page.contains(external), "{external}");
     }
     for expected in
         ["crashed and started anew", "s1", "prefers-color-scheme: dark", "width=device-width", "stands at s"]
@@ -140,15 +139,15 @@
 }
 
 #[test]
-fn a_quiet_course_is_said_to_be_one() {
+fn log_without_a_fault_yields_no_incidents() {
     let quiet = records(0, 0..0).into_iter().filter(|record| record.event.at_us < 1_009_000_000).collect();
-    let incident = incident(quiet);
-    assert!(page::render(&incident).contains("Nothing was wrong that these records show."));
-    assert_eq!(json::render(&incident)["troubles"].as_array().unwrap().len(), 0);
+    let report = report_on(quiet);
+    assert!(page::render(&report).contains("Nothing was wrong that these records show."));
+    assert_eq!(json::render(&report)["troubles"].as_array().unwrap().len(), 0);
 }
 
 #[test]
-fn a_folder_that_is_not_there_is_one_line_and_exit_two() {
+fn missing_folder_exits_with_2_and_empty_folder_succeeds() {
     let run = Command::new(env!("CARGO_BIN_EXE_ochrelead-report")).arg("nowhere").output().unwrap();
     let message = String::from_utf8(run.stderr).unwrap();
     assert!(run.status.code() == Some(2) && message.starts_with("ochrelead-report: nowhere: "), "{message}");
@@ -164,37 +163,37 @@
     fs::read_to_string(path).unwrap()
 }
 
-/// Machines read the JSON: its keys and values are those of an earlier program.
+/// Tools read the JSON report, so its keys and values must not change.
 #[test]
-fn json_of_a_small_log_is_the_stored_text() {
-    let written = format!("{:#}\n", json::render(&incident(records(40_000, 15_000..18_000))));
+fn json_of_a_small_log_equals_the_stored_text() {
+    let written = format!("{:#}\n", json::render(&report_on(records(40_000, 15_000..18_000))));
     assert_eq!(written, stored("small-log.json"));
 }
 
 #[test]
-fn page_of_a_small_log_is_the_stored_page() {
-    let written = page::render(&incident(records(40_000, 15_000..18_000)));
+fn page_of_a_small_log_equals_the_stored_page() {
+    let written = page::render(&report_on(records(40_000, 15_000..18_000)));
     assert_eq!(written, stored("small-log.html"));
 }
 
 #[test]
-fn json_names_each_kind_of_trouble_as_stored() {
-    let mut incident = incident(records(0, 0..0));
+fn json_of_each_incident_kind_equals_the_stored_text() {
+    let mut report = report_on(records(0, 0..0));
     let kinds = [
-        TroubleKind::Slow,
-        TroubleKind::AllSlow,
-        TroubleKind::Silent,
-        TroubleKind::Crashed,
-        TroubleKind::Replaced,
-        TroubleKind::AnswersLost,
-        TroubleKind::CutOff,
-        TroubleKind::FrontKilled,
-        TroubleKind::FrontStalled,
-        TroubleKind::Redials,
-        TroubleKind::HotNumber,
-        TroubleKind::Overload,
+        IncidentKind::Slow,
+        IncidentKind::AllSlow,
+        IncidentKind::Silent,
+        IncidentKind::Crashed,
+        IncidentKind::Replaced,
+        IncidentKind::AnswersLost,
+        IncidentKind::CutOff,
+        IncidentKind::FrontKilled,
+        IncidentKind::FrontStalled,
+        IncidentKind::Redials,
+        IncidentKind::HotNumber,
+        IncidentKind::Overload,
     ];
-    let trouble = |kind| Trouble {
+    let incident = |kind| Incident {
         kind,
         subject: "s1".to_owned(),
         onset: Moment::from_micros(5),
@@ -202,7 +201,7 @@
         confidence: 0.5,
         evidence: "seen".to_owned(),
     };
-    incident.troubles = kinds.into_iter().map(trouble).collect();
-    let written = format!("{:#}\n", json::render(&incident)["troubles"]);
+    report.incidents = kinds.into_iter().map(incident).collect();
+    let written = format!("{:#}\n", json::render(&report)["troubles"]);
     assert_eq!(written, stored("kinds.json"));
 }
