--- a/crates/ochrelead-scenario/src/audit/call_rules/caller_side.rs
+++ b/crates/ochrelead-scenario/src/audit/call_rules/caller_side.rs
@@ -1,4 +1,4 @@
-//! Between callers and fronts: which call attempts a front accepts, and the final answer of each.
+//! Traffic between callers and fronts: the call attempts that a front accepts, and the final answer to each.
 
 use ochrelead_config::scenario::Scenario;
 use ochrelead_core::time::{Moment, Span};
@@ -11,7 +11,7 @@
 use crate::audit::dialled::{dialled_digits, dialled_service};
 
 impl CallRules<'_> {
-    /// A caller's NTFY reached its front.
+    /// Handles a caller's NTFY that reached its front: a new call attempt or a hang-up.
     pub(super) fn on_command_from_caller(&mut self, time: Moment, front: u16, command: &Command) {
         if command.verb != Verb::Notify {
             return;
@@ -23,7 +23,7 @@
             return;
         }
         if events.contains("L/hu") {
-            // A hang-up may overtake its attempt: then nothing is owed when that comes.
+            // The network can reorder a hang-up before its attempt; such an attempt needs no answer.
             let attempt =
                 front.attempts.entry(attempt_id.to_owned()).or_insert_with(|| Attempt::abandoned(time));
             attempt.hung_up_at.get_or_insert(time);
@@ -34,7 +34,8 @@
         }
     }
 
-    /// A front sends a command to a caller's line.
+    /// Handles a command that a front sent to a caller's line. MDCX (established) and RQNT with a signal (rejected)
+    /// are final answers.
     pub(super) fn on_command_to_caller(&mut self, time: Moment, front: u16, command: &Command) {
         let is_final_answer = match command.verb {
             Verb::ModifyConnection => true,
@@ -76,15 +77,16 @@
     }
 }
 
-/// The time from a call attempt to its deadline: the timer limit of the service, or the caller's own where shorter.
+/// Returns the time from a call attempt to its deadline: the smaller of the service's timer limit and the limit that
+/// the caller requests, if any.
 fn time_limit(scenario: &Scenario, command: &Command, events: &str) -> Span {
     let service = dialled_service(scenario, &dialled_digits(events));
     let timer_limit = service.map_or(Span::ZERO, |service| scenario.front.timer_limits[service]);
-    let patience = command.parameters.parse::<u32>(parameter::TIMER_LIMIT);
-    patience.map_or(timer_limit, |ms| Span::from_millis(u64::from(ms)).min(timer_limit))
+    let requested_ms = command.parameters.parse::<u32>(parameter::TIMER_LIMIT);
+    requested_ms.map_or(timer_limit, |ms| Span::from_millis(u64::from(ms)).min(timer_limit))
 }
 
-/// How a final answer breaks its rule.
+/// The reason why a final answer violates rule 1.
 #[derive(Clone, Copy, Debug, Error)]
 enum LateAnswer {
     #[error("a final answer {late_ms} ms after the caller hung up")]
@@ -93,18 +95,19 @@
     AfterDeadline { late_ms: u64 },
 }
 
-/// The first final answer of a call attempt, and what bears on whether it may leave.
+/// The first final answer to a call attempt, with the times that decide whether it is allowed.
 struct FinalAnswer {
     time: Moment,
     accepted_at: Moment,
     deadline: Moment,
     hung_up_at: Option<Moment>,
-    /// When the front last went on after a stop.
+    /// When the front's process last continued after SIGSTOP.
     resumed_at: Option<Moment>,
 }
 
 impl FinalAnswer {
-    /// Says how much of the allowed time was used, where that counts, or how the rule was broken.
+    /// Returns the fraction of the allowed time that was used, or the reason for a violation. Returns `None` if the
+    /// front's process has just resumed, because the answer then says nothing about the front's timing.
     fn check(&self) -> Result<Option<f64>, LateAnswer> {
         let since_resumed = self.resumed_at.map(|resumed_at| self.time.since(resumed_at));
         let just_resumed = since_resumed.is_some_and(|since| since <= SOCKET_DELAY);
@@ -126,7 +129,7 @@
         Ok(Some(self.time.since(self.accepted_at).ratio(allowed).min(1.0)))
     }
 
-    /// When the caller hung up, where the front must know it.
+    /// Returns when the caller hung up, if the front must have read the hang-up by the time of its answer.
     fn known_hang_up(&self) -> Option<Moment> {
         self.hung_up_at.filter(|hung_up_at| {
             self.time.since(*hung_up_at) > SOCKET_DELAY && *hung_up_at > self.accepted_at
--- a/crates/ochrelead-scenario/src/audit/call_rules/mod.rs
+++ b/crates/ochrelead-scenario/src/audit/call_rules/mod.rs
@@ -1,4 +1,5 @@
-//! Rules one, two, three and five: what each front does with each call attempt.
+//! Rules 1, 2, 3 and 5, which concern single call attempts: the final answer, the number of outstanding INVITEs,
+//! servers that leave, and the release delay.
 
 mod caller_side;
 mod front_state;
@@ -16,17 +17,18 @@
 use crate::rig_event::RigEvent;
 use front_state::{FileDrain, FrontState};
 
-/// A datagram that reached a front less than this ago may still wait in its socket: until then the front acts
-/// without knowing of it. Machines under load need that long.
+/// A datagram can wait in a front's socket buffer for this long before the front reads it, on a machine under load.
+/// Until then the front is not expected to act on it.
 const SOCKET_DELAY: Span = Span::from_millis(50);
-/// A final answer may be so late; the operators' figure for the bench.
+/// The time after its deadline within which a final answer is still accepted; specified by the operators for the
+/// bench.
 const ANSWER_GRACE: Span = Span::from_millis(20);
-/// No new call goes to a server so long after the front was notified that it leaves.
+/// The time after which a front that was notified that a server leaves must not send it new calls.
 const DRAIN_GRACE: Span = Span::from_millis(250);
-/// A front's clock may run faster than the capture's by this share.
+/// The fraction by which a front's clock may run faster than the capture's clock.
 const CLOCK_DRIFT: f64 = 0.001;
 
-/// Checks the rules on single call attempts.
+/// Checks rules 1, 2, 3 and 5, and measures the drain delays.
 pub(super) fn check(scenario: &Scenario, trace: &[TraceEvent], verdict: &mut Verdict) {
     let mut rules = CallRules { scenario, fronts: BTreeMap::new(), verdict };
     for event in trace {
@@ -37,7 +39,7 @@
     }
 }
 
-/// The state of the check: what each front has seen and done so far.
+/// The state of the check while the trace is read in order.
 struct CallRules<'a> {
     scenario: &'a Scenario,
     fronts: BTreeMap<u16, FrontState>,
@@ -45,7 +47,7 @@
 }
 
 impl CallRules<'_> {
-    /// What a front sends counts when it leaves, what it receives when it arrives.
+    /// Evaluates datagrams from a front at the time of sending, and datagrams to a front at the time of delivery.
     fn on_message(&mut self, event: &TraceEvent, message: &Message) {
         let time = event.time;
         match (event.from, event.to, event.delivered, message) {
@@ -70,7 +72,8 @@
 
     fn on_rig_event(&mut self, time: Moment, event: RigEvent) {
         match event {
-            // What left the front before its end may be captured after it: the rig reads sockets in its own time.
+            // Datagrams that the front sent before it was killed can be captured after the kill event, because the
+            // relay reads its sockets with a delay.
             RigEvent::Killed(Participant::Front(front)) => {
                 self.fronts.entry(front).or_default().killed = true;
             }
@@ -91,13 +94,14 @@
         }
     }
 
-    /// The new process is not bound by its predecessor's calls; which servers leave it has from its endpoints.
+    /// Clears the state of a front that was restarted. The new process has no calls, but learns the leaving servers
+    /// from its endpoint list, so that these are kept.
     fn on_front_restarted(&mut self, front: u16) {
         let leaving = self.fronts.remove(&front).map(|front| front.leaving).unwrap_or_default();
         self.fronts.insert(front, FrontState { leaving, ..FrontState::default() });
     }
 
-    /// A front's endpoint file is whole on disk: the time of a drain runs from its last byte.
+    /// Handles an endpoint file that was written completely; a drain is measured from this moment.
     fn on_endpoint_file(&mut self, time: Moment, front: u16, draining: Option<u16>) {
         let front = self.fronts.entry(front).or_default();
         if front.file_drain.as_ref().map(|drain| drain.server) == draining {
@@ -110,7 +114,8 @@
         front.file_drain = draining.map(|server| FileDrain { server, since: time, last_invite: None });
     }
 
-    /// The capture ends: an accepted call attempt whose deadline is over must have its answer.
+    /// At the end of the scenario, reports each accepted call attempt whose deadline has passed without a final
+    /// answer. Fronts that are killed or suspended at that moment are exempt.
     fn on_scenario_end(&mut self, time: Moment) {
         for front in self.fronts.values().filter(|front| !front.suspended && !front.killed) {
             for (attempt_id, attempt) in &front.attempts {
--- a/crates/ochrelead-scenario/src/audit/call_rules/server_side.rs
+++ b/crates/ochrelead-scenario/src/audit/call_rules/server_side.rs
@@ -1,4 +1,4 @@
-//! Between fronts and servers: INVITEs (CRCX), their ends, and what servers announce of themselves.
+//! Traffic between fronts and servers: INVITEs (CRCX), how they end, and the servers' state announcements (RSIP).
 
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_mgcp::message::{Command, Response, TransactionId, Verb, code, parameter};
@@ -8,11 +8,11 @@
 use crate::audit::{Rule, Verdict};
 
 impl CallRules<'_> {
-    /// A front sends a command to a server.
+    /// Handles a command that a front sent to a server.
     pub(super) fn on_command_to_server(&mut self, time: Moment, front: u16, server: u16, command: &Command) {
         let attempt_id = command.parameters.get(parameter::CALL_ID).unwrap_or("");
         match command.verb {
-            Verb::DeleteConnection => self.on_invite_called_off(time, front, server, attempt_id),
+            Verb::DeleteConnection => self.on_invite_cancelled(time, front, server, attempt_id),
             Verb::CreateConnection => {
                 let invite = OutstandingInvite { server, transaction: command.transaction };
                 self.on_invite(time, front, attempt_id, invite);
@@ -21,7 +21,7 @@
         }
     }
 
-    fn on_invite_called_off(&mut self, time: Moment, front: u16, server: u16, attempt_id: &str) {
+    fn on_invite_cancelled(&mut self, time: Moment, front: u16, server: u16, attempt_id: &str) {
         let front = self.fronts.entry(front).or_default();
         let Some(attempt) = front.attempts.get_mut(attempt_id) else { return };
         let Some(invite) = attempt.outstanding.filter(|invite| invite.server == server) else { return };
@@ -39,7 +39,7 @@
         let front = self.fronts.entry(front).or_default();
         let record = InviteRecord { attempt_id: attempt_id.to_owned(), ended_at: None };
         front.invites.insert(invite.transaction, record);
-        let leave_known_since = front.note_invite_to(invite.server, time);
+        let leaving_known_since = front.record_invite_to(invite.server, time);
         let resumed_at = front.resumed_at;
         let Some(attempt) = front.attempts.get_mut(attempt_id) else {
             let description = "an INVITE for a try that the front has not taken";
@@ -49,20 +49,20 @@
             time,
             server: invite.server,
             attempt_id,
-            former_outstanding: attempt.outstanding.replace(invite).is_some(),
+            has_other_outstanding: attempt.outstanding.replace(invite).is_some(),
             answered: attempt.answered_at.is_some(),
             hung_up_at: attempt.hung_up_at,
             release_started_at: attempt.release_started_at.take(),
-            leave_known_since,
+            leaving_known_since,
             resumed_at,
         };
-        new_invite.check_single(self.verdict);
-        new_invite.check_caller_waits(self.verdict);
-        new_invite.check_server_stays(self.verdict);
+        new_invite.check_no_other_outstanding(self.verdict);
+        new_invite.check_attempt_unanswered(self.verdict);
+        new_invite.check_server_not_leaving(self.verdict);
         new_invite.check_release_delay(self.scenario.front.controller.resend_delay, self.verdict);
     }
 
-    /// Whether an INVITE repeats an earlier one, which it must not do after that one's end.
+    /// Returns whether an INVITE is a retransmission. Reports a violation if the INVITE had already ended.
     fn is_repeated(&mut self, time: Moment, front: u16, transaction: TransactionId) -> bool {
         let front = self.fronts.entry(front).or_default();
         let Some(record) = front.invites.get(&transaction) else { return false };
@@ -73,7 +73,7 @@
         true
     }
 
-    /// A server's response reached a front.
+    /// Handles a server's response that reached a front; a final response ends its INVITE.
     pub(super) fn on_response_from_server(
         &mut self,
         time: Moment,
@@ -87,17 +87,17 @@
         let Some(front) = self.fronts.get_mut(&front) else { return };
         let Some(record) = front.invites.get_mut(&response.transaction) else { return };
         let Some(attempt) = front.attempts.get_mut(&record.attempt_id) else { return };
-        let answers_outstanding = attempt
+        let ends_outstanding = attempt
             .outstanding
             .is_some_and(|invite| invite.transaction == response.transaction && invite.server == server);
-        if answers_outstanding {
+        if ends_outstanding {
             record.ended_at = Some(time + SOCKET_DELAY);
             attempt.outstanding = None;
             attempt.release_started_at = needs_release(response).then_some(time);
         }
     }
 
-    /// A server's own command reached a front.
+    /// Handles a server's command that reached a front: an RSIP changes the server's state, a DLCX resets calls.
     pub(super) fn on_command_from_server(
         &mut self,
         time: Moment,
@@ -136,38 +136,39 @@
     }
 }
 
-/// Whether a response leaves open what became of the call, so that its release has to be awaited.
+/// Whether the server may still hold the call after this response, so that the next INVITE has to wait for its
+/// release.
 fn needs_release(response: &Response) -> bool {
     matches!(response.code, code::RESTARTING | code::TIMED_OUT | code::ABORTED | code::ENDPOINT_RESTARTING)
 }
 
-/// An INVITE that is no repeat, and what bears on whether it may leave.
+/// An INVITE that is not a retransmission, with the state that decides whether it is allowed.
 struct NewInvite<'a> {
     time: Moment,
     server: u16,
     attempt_id: &'a str,
     /// Whether another INVITE of the attempt is outstanding.
-    former_outstanding: bool,
+    has_other_outstanding: bool,
     answered: bool,
     hung_up_at: Option<Moment>,
-    /// When the former INVITE ended, where its release has to be awaited.
+    /// When the previous INVITE ended, if this one has to wait for the release delay.
     release_started_at: Option<Moment>,
-    /// Since when the front knows that the server leaves.
-    leave_known_since: Option<Moment>,
-    /// When the front last went on after a stop.
+    /// The earliest time at which the front could know that the server is leaving.
+    leaving_known_since: Option<Moment>,
+    /// When the front's process last continued after SIGSTOP.
     resumed_at: Option<Moment>,
 }
 
 impl NewInvite<'_> {
-    fn check_single(&self, verdict: &mut Verdict) {
+    fn check_no_other_outstanding(&self, verdict: &mut Verdict) {
         verdict.coverage_mut(Rule::SingleInvite).count_case();
-        if self.former_outstanding {
+        if self.has_other_outstanding {
             let description = "an INVITE while another is out";
             verdict.add_violation(Rule::SingleInvite, self.attempt_id, self.time, description);
         }
     }
 
-    fn check_caller_waits(&self, verdict: &mut Verdict) {
+    fn check_attempt_unanswered(&self, verdict: &mut Verdict) {
         if self.answered {
             let description = "an INVITE after the final answer";
             verdict.add_violation(Rule::FinalAnswer, self.attempt_id, self.time, description);
@@ -178,10 +179,10 @@
         }
     }
 
-    fn check_server_stays(&self, verdict: &mut Verdict) {
+    fn check_server_not_leaving(&self, verdict: &mut Verdict) {
         let coverage = verdict.coverage_mut(Rule::NoNewCallsToLeaving);
         coverage.count_case();
-        let Some(known_since) = self.leave_known_since else { return };
+        let Some(known_since) = self.leaving_known_since else { return };
         let elapsed = self.time.since(known_since);
         coverage.record_usage(elapsed.ratio(DRAIN_GRACE).min(1.0));
         if elapsed > DRAIN_GRACE && !self.may_be_unread(known_since) {
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Whether what reached the front at a moment may still wait in its socket.
+    /// Whether a datagram that reached the front at `arrived_at` can still be unread in its socket buffer.
     fn may_be_unread(&self, arrived_at: Moment) -> bool {
         let is_recent = |moment: Moment| self.time.since(moment) <= SOCKET_DELAY;
         is_recent(arrived_at) || self.resumed_at.is_some_and(is_recent)
--- a/crates/ochrelead-scenario/src/audit/mod.rs
+++ b/crates/ochrelead-scenario/src/audit/mod.rs
@@ -1,11 +1,12 @@
-//! The auditor: judges a scenario by the captured datagrams and its script, and by nothing else.
+//! The auditor: checks a run of a scenario, using only the captured datagrams and the scenario's script.
 //!
-//! It shares no code with the fronts but the MGCP grammar, so that it can't agree with a front's own mistakes.
+//! It shares only the MGCP parser and the configuration with the fronts, so that a fault in a front's logic can't
+//! hide itself from the audit.
 //!
-//! - [`Rule`]: the five rules; [`Violation`], [`RuleCoverage`]: what was found and how much was examined.
-//! - `call_rules`: the rules on single calls; `slow_start`: the rule on servers that have just started.
-//! - [`ServiceLevel`]: how much of the offered value was served.
-//! - [`OverflowDistribution`]: whether overflow followed the servers' weights.
+//! - [`Rule`]: the five rules; [`Violation`] and [`RuleCoverage`]: the results of their checks.
+//! - `call_rules`: the rules on single call attempts; `slow_start`: the rule on servers that have just started.
+//! - [`ServiceLevel`]: the fraction of the offered value that was served.
+//! - [`OverflowDistribution`]: how overflow calls were distributed over the servers, compared with their weights.
 
 mod call_rules;
 mod dialled;
@@ -24,28 +25,28 @@
 pub use rule::{Rule, RuleCoverage, Violation};
 pub use service_level::{OfferedCall, ServiceLevel, capacity_ceiling};
 
-/// The verdict on one scenario. Moments are counted from the scenario's start.
+/// The result of an audit. Moments are relative to the scenario's start.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     coverage: [RuleCoverage; Rule::ALL.len()],
-    /// The violations, in the order of their moments.
+    /// The violations, in the order of time.
     pub violations: Vec<Violation>,
-    /// For each drain by endpoint file: from the file's last byte to the last INVITE to the server, zero where none
-    /// came.
+    /// For each drain by endpoint file: the time from the completion of the file to the last INVITE to the draining
+    /// server, zero if there was none.
     pub drain_delays: Vec<Span>,
-    /// Where calls went that did not go to their destination.
+    /// The distribution of calls that were not sent to their destination server.
     pub overflow: OverflowDistribution,
-    /// How much of the offered value was served.
+    /// The fraction of the offered value that was served.
     pub service_level: ServiceLevel,
 }
 
 impl Verdict {
-    /// Whether no rule was broken.
+    /// Whether no rule was violated.
     pub fn is_passed(&self) -> bool {
         self.violations.is_empty()
     }
 
-    /// What was examined of a rule.
+    /// How often the rule was exercised, and how close the scenario came to violating it.
     pub fn coverage(&self, rule: Rule) -> &RuleCoverage {
         &self.coverage[rule as usize]
     }
@@ -66,7 +67,7 @@
     }
 }
 
-/// Judges a scenario by its capture.
+/// Audits the capture of a scenario.
 pub fn audit(scenario: &Scenario, datagrams: &[CapturedDatagram]) -> Verdict {
     let trace = trace::read_trace(datagrams);
     let mut verdict = Verdict::default();
--- a/crates/ochrelead-scenario/src/audit/overflow_distribution.rs
+++ b/crates/ochrelead-scenario/src/audit/overflow_distribution.rs
@@ -1,4 +1,5 @@
-//! Where calls went that did not go to their destination, against the weights of the endpoint files.
+//! Compares how calls that were not sent to their destination server were distributed with the weights of the
+//! endpoint files.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -10,17 +11,17 @@
 use crate::participant::Participant;
 use crate::rig_event::RigEvent;
 
-/// First INVITEs of call attempts to another server than their destination, by server.
+/// The first INVITEs of call attempts that went to another server than their destination, by server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OverflowDistribution {
-    /// How many each server got.
+    /// The number of INVITEs that each server got.
     pub observed: Vec<f64>,
-    /// How many each server should get by the weights of those that are not draining.
+    /// The expected number for each server by the weights of the servers that were not draining.
     pub expected: Vec<f64>,
 }
 
 impl OverflowDistribution {
-    /// The largest difference between a server's share and its expected share, in percentage points.
+    /// Returns the largest difference between a server's observed and expected share, in percentage points.
     pub fn max_deviation(&self) -> f64 {
         let total = self.observed.iter().sum::<f64>().max(1.0);
         let pairs = self.observed.iter().zip(&self.expected);
@@ -28,7 +29,7 @@
         deviations.fold(0.0, f64::max) * 100.0
     }
 
-    /// The p-value of Pearson's chi-squared test: how likely a deviation as large is by chance alone.
+    /// Returns the p-value of Pearson's chi-squared test: the probability of a deviation at least as large by chance.
     pub fn p_value(&self) -> f64 {
         let pairs = self.observed.iter().zip(&self.expected).filter(|(_, expected)| **expected > 0.0);
         let statistic: f64 = pairs.map(|(observed, expected)| (observed - expected).powi(2) / expected).sum();
@@ -37,7 +38,7 @@
     }
 }
 
-/// Counts overflow of a scenario whose endpoint files change; empty for any other.
+/// Measures the overflow of a scenario that rewrites endpoint files; returns an empty distribution for any other.
 pub(super) fn measure(scenario: &Scenario, trace: &[TraceEvent]) -> OverflowDistribution {
     let Some(churn) = &scenario.churn else { return OverflowDistribution::default() };
     let mut counter = OverflowCounter::new(&churn.weights);
@@ -61,17 +62,17 @@
 
 struct OverflowCounter<'a> {
     weights: &'a [f64],
-    /// The server that each front's endpoint file has draining.
+    /// By front: the server that its endpoint file marks as draining.
     draining: BTreeMap<Participant, Option<u16>>,
-    /// Call attempts that have had their first INVITE.
+    /// The call attempts whose first INVITE has been seen.
     attempts: HashSet<String>,
     distribution: OverflowDistribution,
 }
 
 impl OverflowCounter<'_> {
     fn new(weights: &[f64]) -> OverflowCounter<'_> {
-        let none = vec![0.0; weights.len()];
-        let distribution = OverflowDistribution { observed: none.clone(), expected: none };
+        let zeros = vec![0.0; weights.len()];
+        let distribution = OverflowDistribution { observed: zeros.clone(), expected: zeros };
         OverflowCounter { weights, draining: BTreeMap::new(), attempts: HashSet::new(), distribution }
     }
 
@@ -82,7 +83,8 @@
         if !self.attempts.insert(attempt) || destination == Some(server) {
             return;
         }
-        // While the file is being adopted either list may be in force.
+        // While a front loads a new file, either endpoint list may be in effect. Only calls whose destination is
+        // draining and that went to another server are certain to be overflow by the new list.
         let draining = self.draining.get(&front).copied().flatten();
         if draining == Some(server) || destination != draining {
             return;
--- a/crates/ochrelead-scenario/src/audit/rule.rs
+++ b/crates/ochrelead-scenario/src/audit/rule.rs
@@ -1,26 +1,27 @@
-//! The five rules, and what the auditor finds about them.
+//! The five rules, their violations, and how much of each rule a scenario exercised.
 
 use std::fmt;
 
 use ochrelead_core::time::Moment;
 
-/// A rule that every front keeps.
+/// A rule that every front must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each call attempt gets one final answer by its deadline, and nothing after it.
+    /// Each call attempt gets exactly one final answer, by its deadline; after the answer or a hang-up the front
+    /// sends no further INVITE or answer.
     FinalAnswer,
     /// At most one INVITE of a call attempt is outstanding.
     SingleInvite,
-    /// A server that drains or is gone gets no new call.
+    /// A server that is draining or gone gets no new calls.
     NoNewCallsToLeaving,
-    /// All fronts together send a server that has just started no more than it can carry.
+    /// All fronts together do not overload a server that has just started.
     SlowStart,
-    /// After an INVITE that has to be released, the next one waits for the resend delay.
+    /// After an INVITE whose call the server may still hold, the next INVITE waits for the resend delay.
     ReleaseDelay,
 }
 
 impl Rule {
-    /// All rules, in the order of their numbers.
+    /// All rules, in numerical order.
     pub const ALL: [Rule; 5] = [
         Rule::FinalAnswer,
         Rule::SingleInvite,
@@ -29,12 +30,12 @@
         Rule::ReleaseDelay,
     ];
 
-    /// The rule's number in reports, counted from 1.
+    /// The rule's number in reports, from 1.
     pub fn number(self) -> usize {
         self as usize + 1
     }
 
-    /// The rule in a few words, for reports.
+    /// A short description of the rule for reports.
     pub fn description(self) -> &'static str {
         match self {
             Rule::FinalAnswer => "one final answer, in time, and nothing after it",
@@ -46,16 +47,16 @@
     }
 }
 
-/// One case in which a rule was broken.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
     /// The call attempt or the server concerned.
     pub subject: String,
-    /// When, counted from the scenario's start.
+    /// When it occurred, from the scenario's start.
     pub time: Moment,
-    /// What was seen, in plain words.
+    /// What was observed.
     pub description: String,
 }
 
@@ -67,13 +68,13 @@
     }
 }
 
-/// How much was examined of one rule.
+/// How often a scenario exercised one rule, and how close it came to a violation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RuleCoverage {
-    /// How many cases there were.
+    /// The number of cases that were checked.
     pub cases: u64,
-    /// The largest share that a kept case used of what the rule allows, 1 being all of it; none where no case
-    /// measures it.
+    /// The highest usage of the rule's limit over all measured cases, 1 being the limit; `None` if no case was
+    /// measured.
     pub peak_usage: Option<f64>,
 }
 
@@ -82,7 +83,7 @@
         self.cases += 1;
     }
 
-    pub(super) fn record_usage(&mut self, share: f64) {
-        self.peak_usage = Some(self.peak_usage.unwrap_or(0.0).max(share));
+    pub(super) fn record_usage(&mut self, usage: f64) {
+        self.peak_usage = Some(self.peak_usage.unwrap_or(0.0).max(usage));
     }
 }
--- a/crates/ochrelead-scenario/src/audit/server_condition.rs
+++ b/crates/ochrelead-scenario/src/audit/server_condition.rs
@@ -1,23 +1,23 @@
-//! What the script says of a server's condition.
+//! The condition of a server according to the scenario's script.
 
 use ochrelead_config::faults::{FaultKind, InjectedFault};
 use ochrelead_config::scenario::{EmulatedServer, Scenario};
 use ochrelead_core::time::Moment;
 
-/// The least factor by which a scripted fault slows a server.
+/// The lower bound of a scripted slowdown factor; prevents a division by zero.
 const MIN_SLOWDOWN: f64 = 0.01;
 
-/// The condition of a server at one moment, by the script.
+/// The scripted condition of a server at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ServerCondition {
-    /// The factor by which it is slower; none where it is gone or silent.
+    /// The factor by which its processing time is multiplied; `None` if it is gone or silent.
     pub(super) slowdown: Option<f64>,
-    /// When it last started anew, if it did.
+    /// When it last restarted, if it did.
     pub(super) restarted_at: Option<Moment>,
 }
 
 impl ServerCondition {
-    /// The condition that the script gives a server at a moment.
+    /// Returns the condition of a server at a moment according to the script.
     pub(super) fn scripted(scenario: &Scenario, server: usize, time: Moment) -> ServerCondition {
         let (mut slowdown, mut available, mut restarted_at) = (1.0, true, None);
         for fault in scenario.faults.iter().filter(|fault| affects(fault, server)) {
@@ -45,7 +45,8 @@
     fault.kind == FaultKind::AllSlow || fault.targets.contains(&server)
 }
 
-/// The share of its capacity that a server has, `warm_up` being the share of its warm-up that is over.
+/// Returns the fraction of its full capacity that a server has, which rises linearly from `cold_share` to 1 as
+/// `warm_up`, the completed fraction of its warm-up, goes from 0 to 1.
 pub(super) fn capacity_share(server: &EmulatedServer, warm_up: f64) -> f64 {
     server.cold_share + (1.0 - server.cold_share) * warm_up
 }
--- a/crates/ochrelead-scenario/src/audit/service_level/callers.rs
+++ b/crates/ochrelead-scenario/src/audit/service_level/callers.rs
@@ -1,4 +1,4 @@
-//! Callers, their value and what became of them.
+//! The callers of a trace: the value of their calls and the outcome.
 
 use std::collections::BTreeMap;
 
@@ -12,39 +12,40 @@
 use crate::audit::trace::{TraceEvent, TraceEventKind};
 use crate::participant::Participant;
 
-/// The share of its value that a call to a flooded number has.
+/// The factor on the value of a call to the flooded (hot) number.
 const FLOODED_VALUE_SHARE: f64 = 0.1;
-/// Tenants' quotas are measured over this time.
+/// The sliding window over which tenants' quotas are measured.
 const QUOTA_WINDOW: Span = Span::from_secs(5);
-/// The digits of an attempt's id that name the caller.
+/// The number of leading digits of an attempt's id that identify the caller.
 const CALLER_ID_LENGTH: usize = 8;
 
 /// One caller, with all of its attempts.
 pub(super) struct Caller {
-    pub(super) came_at: Moment,
+    pub(super) arrived_at: Moment,
     pub(super) service: usize,
     pub(super) tenant: Option<usize>,
-    /// The value of its call, if it is served in time.
+    /// The value of its call if it is served in time.
     pub(super) value: f64,
     current_attempt: String,
-    /// Whether the caller waits in its current attempt, or talks.
+    /// Whether the caller is off hook in its current attempt: it waits or talks.
     is_off_hook: bool,
     pub(super) established_at: Option<Moment>,
-    /// Whether its call was ended by a front.
+    /// Whether a front ended its established call before it hung up.
     pub(super) cut: bool,
 }
 
 impl Caller {
-    /// The call as the ceiling counts it.
+    /// Returns the call as input of the capacity ceiling.
     pub(super) fn offered_call(&self) -> OfferedCall {
-        OfferedCall { time: self.came_at, value: self.value }
+        OfferedCall { time: self.arrived_at, value: self.value }
     }
 
-    /// The value that was served: all of it within the post-dial target, a share by the timer limit.
+    /// Returns the served value: the full value if the call was established within the post-dial target,
+    /// `late_value_share` of it up to the timer limit, and 0 otherwise or if the call was cut.
     pub(super) fn served_value(&self, scenario: &Scenario) -> f64 {
         let Some(established_at) = self.established_at.filter(|_| !self.cut) else { return 0.0 };
         let service = &scenario.front.controller.services[self.service];
-        let delay = established_at.since(self.came_at);
+        let delay = established_at.since(self.arrived_at);
         if delay <= service.post_dial_target {
             self.value
         } else if delay <= scenario.front.timer_limits[self.service] {
@@ -59,7 +60,7 @@
     }
 }
 
-/// All callers of a trace.
+/// Returns all callers of a trace, ordered by id.
 pub(super) fn read_callers(scenario: &Scenario, trace: &[TraceEvent]) -> Vec<Caller> {
     let quotas = TenantQuotas::new(scenario);
     let mut reader = CallerReader { scenario, callers: BTreeMap::new(), quotas };
@@ -106,7 +107,7 @@
         }
     }
 
-    /// A caller goes off hook for an attempt, or hangs up.
+    /// Handles a caller that goes off hook for an attempt, or hangs up.
     fn on_notify(&mut self, time: Moment, caller_id: &str, attempt_id: &str, command: &Command) {
         let events = command.parameters.get(parameter::OBSERVED_EVENTS).unwrap_or("");
         if events.contains("L/hd") {
@@ -142,7 +143,7 @@
         value *= scenario.front.controller.over_quota_value_share;
     }
     Caller {
-        came_at: time,
+        arrived_at: time,
         service,
         tenant,
         value,
@@ -153,9 +154,9 @@
     }
 }
 
-/// What each tenant has used of its quota.
+/// The tenants' use of their quotas.
 struct TenantQuotas {
-    /// By tenant: when its calls within quota came, as far as they still count.
+    /// By tenant: the arrival times of its calls within quota that are inside the window.
     recent_calls: Vec<Vec<Moment>>,
 }
 
@@ -164,7 +165,7 @@
         TenantQuotas { recent_calls: vec![Vec::new(); scenario.front.trunks.len()] }
     }
 
-    /// Whether a call is within its tenant's quota; if it is, it counts.
+    /// Returns whether a call is within its tenant's quota; only such calls use up the quota.
     fn admit(&mut self, scenario: &Scenario, tenant: usize, time: Moment) -> bool {
         let recent_calls = &mut self.recent_calls[tenant];
         recent_calls.retain(|call| time.since(*call) < QUOTA_WINDOW);
--- a/crates/ochrelead-scenario/src/audit/service_level/ceiling.rs
+++ b/crates/ochrelead-scenario/src/audit/service_level/ceiling.rs
@@ -1,4 +1,4 @@
-//! The service level that the servers' true capacity alone would have allowed.
+//! The upper bound of the service level that the servers' true capacity allows.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +7,24 @@
 
 use crate::audit::server_condition::{ServerCondition, capacity_share};
 
-/// Calls and capacity are compared within intervals of this length.
+/// The length of the intervals in which offered calls are compared with capacity.
 const INTERVAL: Span = Span::from_secs(2);
 
-/// A call that was offered.
+/// An offered call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OfferedCall {
-    /// When, counted from the scenario's start.
+    /// When the caller arrived, from the scenario's start.
     pub time: Moment,
     /// Its value.
     pub value: f64,
 }
 
-/// The share of the offered value that the servers' true capacity could have carried: in each two seconds the calls
-/// of the highest value first, as many as the script's servers could set up then.
+/// Returns the fraction of the offered value that the servers' true capacity could have carried. In each interval of
+/// 2 s the calls of the highest value are taken first, up to the number that the servers can set up according to the
+/// script.
 ///
-/// No front can reach it, for none knows the servers' condition; calls cut by a server's end are not subtracted.
+/// This is an upper bound that fronts can't reach, because they don't know the servers' condition. Calls that are cut
+/// when a server fails are not subtracted.
 pub fn capacity_ceiling(scenario: &Scenario, offered: &[OfferedCall]) -> f64 {
     let mut intervals: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
     for call in offered {
@@ -41,7 +43,7 @@
     if offered_value > 0.0 { carried_value / offered_value } else { 1.0 }
 }
 
-/// The sessions a second that a server carries at a moment, by the script.
+/// Returns the sessions per second that a server can set up at a moment according to the script.
 fn sessions_per_s(scenario: &Scenario, server: usize, time: Moment) -> f64 {
     let config = &scenario.servers[server];
     let condition = ServerCondition::scripted(scenario, server, time);
--- a/crates/ochrelead-scenario/src/audit/slow_start.rs
+++ b/crates/ochrelead-scenario/src/audit/slow_start.rs
@@ -1,5 +1,5 @@
-//! Rule four: the work that all fronts together send to a server that has just started, against what the script
-//! says that it can carry.
+//! Rule 4: compares the load that all fronts together send to a server that has just started with the capacity that
+//! the scenario gives it during warm-up.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
@@ -12,45 +12,47 @@
 use super::{Rule, Verdict};
 use crate::participant::Participant;
 
-/// Work beyond the limit, in set-ups, that is attributed to chance.
-const SLACK: f64 = 3.0;
-/// The rule is broken only where at least this share of the work came from fronts that knew of the start.
+/// The tolerance of the limit, in set-ups, for random variation of the load.
+const TOLERANCE_SET_UPS: f64 = 3.0;
+/// Load above the limit is a violation only if at least this fraction came from fronts that knew of the start.
 const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
-/// All fronts are notified of one start within this time.
+/// All RSIPs with which a server announces one start are sent within this time.
 const RESTART_NOTICE_WINDOW: Span = Span::from_secs(1);
 
-/// A transaction between a server and a front.
+/// A transaction between a server and a front, which identifies an INVITE or an RSIP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct FrontTransaction {
     front: u16,
     transaction: TransactionId,
 }
 
-/// The work of one INVITE, in set-ups.
+/// The cost of one INVITE for its server.
 struct InviteWork {
     time: Moment,
+    /// In units of one call set-up.
     set_ups: f64,
-    /// Whether its sender had been notified of the start.
+    /// Whether its front had received the announcement of the server's start.
     informed: bool,
 }
 
-/// What is known of a server since its last start.
+/// The load of a server since its last start.
 #[derive(Default)]
 struct ServerLoad {
     started_at: Option<Moment>,
-    /// Its RSIPs, so that a repeat is told from a new one.
+    /// The RSIPs of its starts; used to ignore retransmissions.
     restart_commands: HashSet<FrontTransaction>,
-    /// The fronts that have been notified of the start.
+    /// The fronts that have received the announcement of the start.
     informed_fronts: HashSet<u16>,
-    /// The work within the overload duration.
+    /// The INVITEs within the overload duration, oldest first.
     recent_work: VecDeque<InviteWork>,
     invites: HashSet<FrontTransaction>,
-    /// INVITEs that the server has not rejected, by when they arrived.
+    /// INVITEs that the server has not rejected, with their time of arrival.
     unrejected: BTreeMap<FrontTransaction, Moment>,
+    /// Whether a violation was reported for this start; only the first one is.
     violated: bool,
 }
 
-/// Checks rule four on all servers.
+/// Checks rule 4 for all servers.
 pub(super) fn check(scenario: &Scenario, trace: &[TraceEvent], verdict: &mut Verdict) {
     let mut rule = SlowStartRule { scenario, servers: BTreeMap::new(), verdict };
     for event in trace {
@@ -117,7 +119,7 @@
             return load.recent_work.clear();
         };
         load.add_invite(time, invite, config.repeat_work);
-        load.forget_work_before(time, window);
+        load.discard_expired_work(time, window);
         let (sent, informed) = (load.total_work(), load.informed_work());
         let limit = work_limit(self.scenario, usize::from(server), time, started_at);
         let coverage = self.verdict.coverage_mut(Rule::SlowStart);
@@ -132,28 +134,31 @@
     }
 }
 
-/// The set-ups that a server which started at `started_at` may get within the overload duration.
+/// Returns the maximum load, in set-ups within the overload duration, of a server that started at `started_at`:
+/// `overload_duration / set_up_time * capacity_share / slowdown * overload_multiple`, plus the tolerance.
 fn work_limit(scenario: &Scenario, server: usize, time: Moment, started_at: Moment) -> f64 {
     let (config, controller) = (&scenario.servers[server], &scenario.front.controller);
     let warm_up = time.since(started_at).ratio(config.warm_up_time);
     let slowdown = ServerCondition::scripted(scenario, server, time).slowdown.unwrap_or(1.0);
     let speed = capacity_share(config, warm_up) / slowdown;
-    controller.overload_duration.ratio(config.set_up_time()) * speed * controller.overload_multiple + SLACK
+    controller.overload_duration.ratio(config.set_up_time()) * speed * controller.overload_multiple
+        + TOLERANCE_SET_UPS
 }
 
 impl ServerLoad {
-    /// An RSIP `restart` has left the server. Repeats, and the copies for the other fronts, belong to one start.
+    /// Handles an RSIP `restart` that the server sent. Retransmissions, and the RSIPs to the other fronts within
+    /// [`RESTART_NOTICE_WINDOW`], belong to the same start.
     fn on_restart_sent(&mut self, time: Moment, command: FrontTransaction) {
         let is_new = self.restart_commands.insert(command);
-        let is_other_start =
+        let is_new_start =
             self.started_at.is_none_or(|started_at| time.since(started_at) > RESTART_NOTICE_WINDOW);
-        if is_new && is_other_start {
+        if is_new && is_new_start {
             let restart_commands = std::mem::take(&mut self.restart_commands);
             *self = ServerLoad { started_at: Some(time), restart_commands, ..ServerLoad::default() };
         }
     }
 
-    /// A rejected INVITE costs less than a set-up.
+    /// Reduces the cost of an INVITE that the server rejected to that of a rejection.
     fn on_rejected(&mut self, invite: FrontTransaction, rejection_work: f64) {
         if let Some(arrived_at) = self.unrejected.remove(&invite)
             && let Some(work) =
@@ -173,7 +178,7 @@
         self.recent_work.push_back(InviteWork { time, set_ups, informed });
     }
 
-    fn forget_work_before(&mut self, time: Moment, window: Span) {
+    fn discard_expired_work(&mut self, time: Moment, window: Span) {
         while self.recent_work.front().is_some_and(|work| time.since(work.time) > window) {
             self.recent_work.pop_front();
         }
--- a/crates/ochrelead-scenario/src/audit/trace.rs
+++ b/crates/ochrelead-scenario/src/audit/trace.rs
@@ -1,4 +1,4 @@
-//! A capture as a sequence of messages and events of the rig.
+//! A capture as a sequence of MGCP messages and test harness events.
 
 use ochrelead_core::time::Moment;
 use ochrelead_mgcp::message::Message;
@@ -8,13 +8,13 @@
 use crate::participant::Participant;
 use crate::rig_event::{RigEvent, scenario_start};
 
-/// One message, as it left its sender or as it reached its receiver, or one event of the rig.
+/// One message that was sent or delivered, or one test harness event.
 pub(super) struct TraceEvent {
-    /// When, counted from the scenario's start; what came before counts as at the start.
+    /// When it occurred, from the scenario's start; zero for events before the start.
     pub(super) time: Moment,
     pub(super) from: Participant,
     pub(super) to: Participant,
-    /// Whether the message reached its receiver; else it left its sender.
+    /// Whether the message was delivered to its receiver (true) or sent by its sender (false).
     pub(super) delivered: bool,
     pub(super) kind: TraceEventKind,
 }
@@ -24,7 +24,7 @@
     Rig(RigEvent),
 }
 
-/// All messages and events, in the order of the capture.
+/// Reads the messages and events in the order of the capture; datagrams that can't be parsed are skipped.
 pub(super) fn read_trace(datagrams: &[CapturedDatagram]) -> Vec<TraceEvent> {
     let start = scenario_start(datagrams).unwrap_or(Moment::START);
     datagrams.iter().flat_map(|datagram| read_datagram(datagram, start)).collect()
