--- a/crates/ochrelead-scenario/src/baseline.rs
+++ b/crates/ochrelead-scenario/src/baseline.rs
@@ -1,7 +1,7 @@
-//! Textbook policies in the module's place, for comparison only.
+//! Textbook routing policies that replace the controller, for comparison only.
 //!
-//! They are meant to keep the rules that cost them nothing: one INVITE at a time, the release awaited, no new call to a
-//! server that leaves. Neither of them considers load.
+//! They keep the rules that don't depend on load: one outstanding INVITE per call, the release delay, and no new
+//! calls to a server that is leaving. Neither of them considers load.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,31 +15,32 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The re-sends of a call by [`BaselineKind::Random`].
+/// The maximum number of re-sends of a call by [`BaselineKind::Random`].
 const MAX_RESENDS: u32 = 3;
-/// No INVITE leaves so shortly before the deadline.
-const MIN_TIME_LEFT: Span = Span::from_millis(20);
-/// The least pause, in milliseconds, after an INVITE that was rejected: without one, two rejections by one server
-/// would be a loop that takes no time.
+/// The minimum time to the deadline for sending an INVITE.
+const MIN_TIME_TO_DEADLINE: Span = Span::from_millis(20);
+/// The minimum pause after a rejected INVITE; prevents a busy loop of INVITEs that one server rejects at once.
 const REJECTION_PAUSE_MS: u64 = 10;
-/// Pauses are longer by a random number of milliseconds below this.
+/// The exclusive upper bound of the random time that is added to pauses.
 const PAUSE_JITTER_MS: u64 = 5;
 
-/// Which textbook policy.
+/// The kind of textbook policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaselineKind {
-    /// A server at random, and up to three immediate re-sends to others at random.
+    /// Sends to a random server, with up to three re-sends, each to a random server other than the last one.
     Random,
-    /// The destination, again and again while there is time.
+    /// Sends to the destination server, with re-sends until the deadline.
     Unbounded,
 }
 
 struct PendingCall {
     request: CallRequest,
+    /// The number of INVITEs sent.
     invites: u32,
-    /// Whether an INVITE of it is outstanding.
+    /// Whether one of its INVITEs is outstanding.
     outstanding: bool,
     last_server: Option<ServerIx>,
+    /// The earliest time of the next INVITE.
     not_before: Moment,
 }
 
@@ -56,13 +57,13 @@
     answer_timeout: Span,
     calls: BTreeMap<SessionIx, PendingCall>,
     servers: BTreeMap<ServerIx, KnownServer>,
-    /// When which call is to be evaluated.
+    /// Calls to evaluate, ordered by time.
     due: BTreeSet<(Moment, SessionIx)>,
     rng: Pcg64Mcg,
 }
 
 impl Baseline {
-    /// A policy that knows no server yet. An INVITE without an answer is given up after `answer_timeout`.
+    /// Creates a policy without servers. An INVITE times out after `answer_timeout` without an answer.
     pub fn new(kind: BaselineKind, resend_delay: Span, answer_timeout: Span, seed: u64) -> Baseline {
         Baseline {
             kind,
@@ -76,14 +77,15 @@
         }
     }
 
-    /// Decides on a call, unless one of its INVITEs is outstanding or it has to wait.
+    /// Returns the decision on a call; `None` if one of its INVITEs is outstanding or its pause is not over.
     fn evaluate(&mut self, session: SessionIx) -> Option<Decision> {
         let call = self.calls.get(&session).filter(|call| !call.outstanding)?;
         if call.not_before > self.now {
             self.due.insert((call.not_before, session));
             return None;
         }
-        let may_send = call.invites < self.max_invites() && self.now + MIN_TIME_LEFT < call.request.deadline;
+        let may_send =
+            call.invites < self.max_invites() && self.now + MIN_TIME_TO_DEADLINE < call.request.deadline;
         let (destination, last_server) = (call.request.destination, call.last_server);
         let server = self.choose_server(destination, last_server);
         let Some(server) = server.filter(|_| may_send) else {
@@ -137,8 +139,14 @@
         self.calls.remove(&session);
     }
 
-    fn on_invite_ended(&mut self, session: SessionIx, _: ServerIx, outcome: InviteOutcome, is_over: bool) {
-        if is_over {
+    fn on_invite_ended(
+        &mut self,
+        session: SessionIx,
+        _: ServerIx,
+        outcome: InviteOutcome,
+        is_call_over: bool,
+    ) {
+        if is_call_over {
             self.calls.remove(&session);
         }
         let Some(call) = self.calls.get_mut(&session) else { return };
--- a/crates/ochrelead-scenario/src/capture.rs
+++ b/crates/ochrelead-scenario/src/capture.rs
@@ -1,7 +1,7 @@
-//! Packet capture: every datagram twice, as it left its sender (time to live 64) and as it reached its receiver
-//! (63, one hop on). A datagram that got lost shows only the first.
+//! Packet captures. Each datagram is recorded twice: when it is sent (time to live 64) and when it is delivered (63,
+//! one hop later). A lost datagram has only the first record.
 //!
-//! What the rig did is recorded as datagrams from 10.0.0.1 to itself ([`crate::rig_event`]).
+//! Events of the test harness are recorded as datagrams from 10.0.0.1 to itself ([`crate::rig_event`]).
 
 use std::fs::File;
 use std::io::{self, BufReader, BufWriter, Read, Write};
@@ -18,44 +18,44 @@
 
 use crate::participant::Participant;
 
-/// The time to live of a datagram that leaves its sender.
+/// The time to live in the record of a sent datagram.
 const TTL_SENT: u8 = 64;
-/// The time to live of a datagram that reaches its receiver.
+/// The time to live in the record of a delivered datagram.
 const TTL_DELIVERED: u8 = 63;
 
-/// Why a capture can't be written or read.
+/// The error when a capture can't be written or read.
 #[derive(Debug, Error)]
 pub enum CaptureError {
-    /// The file concerned, with the cause as source.
+    /// An error in a file, with the cause as source.
     #[error("{}", path.display())]
     File {
         /// The capture file.
         path: PathBuf,
-        /// What went wrong with it.
+        /// The cause.
         source: Box<CaptureError>,
     },
     /// The file can't be opened, read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The file is no sound capture.
+    /// The file is not a valid pcap file.
     #[error(transparent)]
     Pcap(#[from] PcapError),
-    /// A packet can't be read.
+    /// A packet can't be parsed.
     #[error(transparent)]
     ReadPacket(#[from] SliceError),
-    /// A packet can't be written.
+    /// A packet can't be built.
     #[error(transparent)]
     WritePacket(#[from] BuildWriteError),
-    /// A packet of another protocol.
-    #[error("packet {number}: not UDP over IPv4")]
+    /// A packet is not UDP over IPv4.
+    #[error("packet {number} of the capture is not UDP over IPv4")]
     UnexpectedProtocol {
-        /// The packet, counted from 1.
+        /// The packet's number, from 1.
         number: usize,
     },
-    /// A packet whose addresses stand for no participant.
-    #[error("packet {number}: unknown parties")]
+    /// The address of a packet's sender or receiver represents no participant.
+    #[error("packet {number} of the capture: the sender or receiver address is not that of a participant")]
     UnknownParticipant {
-        /// The packet, counted from 1.
+        /// The packet's number, from 1.
         number: usize,
     },
 }
@@ -63,13 +63,13 @@
 /// One record of a capture: a datagram that was sent, or one that was delivered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapturedDatagram {
-    /// When it was recorded, on the clock of the rig.
+    /// When it was recorded, on the test harness's clock.
     pub time: Moment,
     /// Its sender.
     pub from: Participant,
     /// Its receiver.
     pub to: Participant,
-    /// Whether it reached its receiver; else it left its sender.
+    /// Whether this is the record of its delivery (true) or of its sending (false).
     pub delivered: bool,
     /// Its payload.
     pub bytes: Vec<u8>,
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// Where the file can't be created or written.
+    /// If the file can't be created or written.
     pub fn create(path: &Path) -> Result<Self, CaptureError> {
         let file = File::create(path).map_err(|error| in_file(path, error.into()))?;
         CaptureWriter::new(BufWriter::new(file))
@@ -93,11 +93,11 @@
 }
 
 impl<W: Write> CaptureWriter<W> {
-    /// Begins a capture in `target`.
+    /// Writes the header of a capture to `target`.
     ///
     /// # Errors
     ///
-    /// Where the header can't be written.
+    /// If the header can't be written.
     pub fn new(target: W) -> Result<Self, CaptureError> {
         let header = PcapHeader {
             datalink: DataLink::RAW,
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     ///
-    /// Where the datagram is too long for a packet, or can't be written.
+    /// If the datagram is too long for an IPv4 packet, or can't be written.
     pub fn write(&mut self, datagram: &CapturedDatagram) -> Result<(), CaptureError> {
         let (from, to) = (datagram.from.capture_address(), datagram.to.capture_address());
         let time_to_live = if datagram.delivered { TTL_DELIVERED } else { TTL_SENT };
@@ -125,11 +125,11 @@
         Ok(())
     }
 
-    /// Writes what is buffered.
+    /// Flushes buffered records.
     ///
     /// # Errors
     ///
-    /// Where it can't be written.
+    /// If they can't be written.
     pub fn finish(self) -> Result<(), CaptureError> {
         Ok(self.pcap.into_writer().flush()?)
     }
@@ -139,7 +139,7 @@
 ///
 /// # Errors
 ///
-/// As [`read_from`], with the file's path.
+/// If the file can't be opened, and as for [`read_from`]; the error names the file.
 pub fn read_file(path: &Path) -> Result<Vec<CapturedDatagram>, CaptureError> {
     let file = File::open(path).map_err(|error| in_file(path, error.into()))?;
     read_from(BufReader::new(file)).map_err(|error| in_file(path, error))
@@ -149,7 +149,7 @@
 ///
 /// # Errors
 ///
-/// Where it can't be read, or holds anything but UDP datagrams of participants.
+/// If it can't be read, or contains anything but UDP datagrams between participants.
 pub fn read_from(source: impl Read) -> Result<Vec<CapturedDatagram>, CaptureError> {
     let mut pcap = PcapReader::new(source)?;
     let mut datagrams = Vec::new();
--- a/crates/ochrelead-scenario/src/cli.rs
+++ b/crates/ochrelead-scenario/src/cli.rs
@@ -7,9 +7,9 @@
 use ochrelead_core::time::Moment;
 use ochrelead_scenario::process::EmulatorConfig;
 
-/// Runs scripted scenarios through real fronts on loopback sockets, and judges them by what the sockets saw.
+/// Runs scripted scenarios with real fronts on loopback sockets, and audits the captured datagrams.
 ///
-/// Exits with 0 where all rules were kept, 1 where one was broken, 2 for usage and settings.
+/// Exit codes: 0 if all rules were kept, 1 if a rule was violated, 2 for invalid usage or settings and other errors.
 #[derive(Parser)]
 #[command(
     version,
@@ -24,46 +24,46 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Run a scenario in real time and judge it
+    /// Run a scenario in real time and audit it
     Run {
         #[arg(value_name = "DAY")]
         scenario: PathBuf,
-        /// Where the captures and the fronts' files go
+        /// Output folder for the captures and the fronts' files
         #[arg(long = "out", value_name = "DIR")]
         output: PathBuf,
-        /// Leave out the textbook baselines
+        /// Run only the controller, without the textbook baselines
         #[arg(long)]
         alone: bool,
     },
-    /// Judge a capture
+    /// Audit a capture
     Audit {
         capture: PathBuf,
         #[arg(long = "day", value_name = "DAY")]
         scenario: PathBuf,
     },
-    /// How well the diagnosis detects what the script of a run did
+    /// Compare the faults that the diagnosis detects with those of a run's script
     #[command(name = "found")]
     Detection {
-        /// Output folders of runs; of more than one a table by kind is shown
+        /// Output folders of runs; for more than one, a table by kind of fault is printed
         #[arg(required = true, value_name = "OUTS")]
         outputs: Vec<PathBuf>,
-        /// Set the fronts' clocks wrong and remove a tenth of the records first, by this seed
+        /// First set some fronts' clocks wrong and remove a tenth of the records, with this random seed
         #[arg(long = "marred", value_name = "SEED")]
         corruption_seed: Option<u64>,
     },
-    /// Check scenarios and stop
+    /// Check scenario files without running them
     Check {
         #[arg(required = true, value_name = "DAYS")]
         scenarios: Vec<PathBuf>,
     },
-    /// How much one front carries on one core, beside a bare relay of the same datagrams
+    /// Measure the throughput of one front on one core, compared with a plain UDP relay
     Load {
         #[arg(long = "out", value_name = "DIR")]
         output: PathBuf,
-        /// Of each step
+        /// Duration of each step
         #[arg(long, default_value_t = 3)]
         seconds: u64,
-        /// Sessions a second, step by step
+        /// Sessions per second of each step
         #[arg(
             long,
             value_delimiter = ',',
@@ -71,7 +71,7 @@
         )]
         rates: Vec<u32>,
     },
-    /// A process that this program starts for itself
+    /// Run one of the processes that the other subcommands start
     #[command(subcommand, hide = true)]
     Process(ProcessCommand),
 }
--- a/crates/ochrelead-scenario/src/detection/corruption.rs
+++ b/crates/ochrelead-scenario/src/detection/corruption.rs
@@ -1,18 +1,20 @@
-//! Event logs as they come from a bad day: wrong clocks, and a tenth of the records gone.
+//! Corrupts event logs as in production incidents: some clocks are wrong, and a tenth of the records is lost.
 
 use ochrelead_event_log::reader::{Log, Record};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Records are removed in runs of this length.
+/// The number of consecutive records that are removed together.
 const RUN_LENGTH: usize = 25;
-/// One run of so many is removed.
+/// One of this number of runs is removed, on average.
 const REMOVED_ONE_IN: u32 = 10;
 
-/// What a front's clock shows, in seconds, by the true time and the middle of the log.
+/// Maps the true time in seconds from the log's start to the time that a front's clock shows; `middle` is the middle
+/// of the log.
 type WrongClock = fn(seconds: f64, middle: f64) -> f64;
 
-/// The clocks of the first fronts: ahead, behind, too fast, set back in the middle. Those of the others are right.
+/// The clocks of the first four fronts: 40 s ahead, 3 s behind, 0.02 % too fast, and set back by 5 s in the middle.
+/// The clocks of other fronts are correct.
 const WRONG_CLOCKS: [WrongClock; 4] = [
     |seconds, _| seconds + 40.0,
     |seconds, _| seconds - 3.0,
@@ -20,14 +22,14 @@
     |seconds, middle| if seconds < middle { seconds } else { seconds - 5.0 },
 ];
 
-/// The same logs with wrong clocks and without a tenth of their records.
+/// Sets clocks wrong and removes about a tenth of the records; the same seed gives the same result.
 pub(super) fn corrupt_logs(logs: Vec<Log>, seed: u64) -> Vec<Log> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut fronts: Vec<String> = logs.iter().map(|log| log.incarnation.front.clone()).collect();
     fronts.dedup();
     let corrupt = |log: Log| {
         let front = fronts.iter().position(|front| *front == log.incarnation.front).unwrap_or(0);
-        // At least one clock is right, wherever there is more than one.
+        // The clock of the last front stays correct if there is more than one front.
         let has_wrong_clock = front + 1 < fronts.len() || fronts.len() == 1;
         let wrong_clock = WRONG_CLOCKS.get(front).filter(|_| has_wrong_clock);
         corrupt_log(log, wrong_clock, &mut rng)
--- a/crates/ochrelead-scenario/src/detection/expected.rs
+++ b/crates/ochrelead-scenario/src/detection/expected.rs
@@ -1,46 +1,48 @@
-//! The troubles that a script causes, in the diagnosis's terms.
+//! The faults that the diagnosis is expected to report for a script.
 
 use ochrelead_config::faults::{FaultKind, InjectedFault};
 use ochrelead_config::scenario::Scenario;
 use ochrelead_diagnosis::trouble::TroubleKind;
 
-use super::ScriptedTrouble;
+use super::ExpectedFault;
 use crate::participant::{front_name, server_name};
 
-/// All troubles of a script. A surge is one where more is offered than the servers can carry.
-pub(super) fn scripted_troubles(scenario: &Scenario) -> Vec<ScriptedTrouble> {
-    scenario.faults.iter().flat_map(|fault| troubles_of(scenario, fault)).collect()
+/// Returns the faults that the diagnosis is expected to report for a scenario. A surge is expected only if the
+/// offered load exceeds the capacity of the servers.
+pub(super) fn expected_faults(scenario: &Scenario) -> Vec<ExpectedFault> {
+    scenario.faults.iter().flat_map(|fault| faults_to_report(scenario, fault)).collect()
 }
 
-/// Whether callers offer more sessions, by this factor, than all servers together carry.
+/// Whether the offered load, multiplied by `factor`, exceeds the capacity of all servers together.
 pub(super) fn exceeds_capacity(scenario: &Scenario, factor: f64) -> bool {
     let capacity: f64 = scenario.servers.iter().map(|server| server.sessions_per_s).sum();
     scenario.callers.sessions_per_s * factor > capacity
 }
 
-fn troubles_of(scenario: &Scenario, fault: &InjectedFault) -> Vec<ScriptedTrouble> {
-    let trouble = |(kind, subject)| ScriptedTrouble {
+fn faults_to_report(scenario: &Scenario, fault: &InjectedFault) -> Vec<ExpectedFault> {
+    let expected = |(kind, subject)| ExpectedFault {
         kind,
         subject,
         start: fault.start,
         duration: fault.duration,
         detected: None,
     };
-    let of_fleet = |kind| vec![trouble((kind, String::new()))];
+    let of_fleet = |kind| vec![expected((kind, String::new()))];
     match fault.kind {
         FaultKind::AllSlow => of_fleet(TroubleKind::AllSlow),
         FaultKind::HotNumber => of_fleet(TroubleKind::HotNumber),
         FaultKind::Surge if exceeds_capacity(scenario, fault.magnitude) => of_fleet(TroubleKind::Overload),
         FaultKind::Surge => Vec::new(),
         kind => {
-            let of_targets = fault.targets.iter().filter_map(|target| target_trouble(kind, *target));
-            of_targets.map(trouble).collect()
+            let of_targets = fault.targets.iter().filter_map(|target| reported_at_target(kind, *target));
+            of_targets.map(expected).collect()
         }
     }
 }
 
-/// What a fault is at one of its targets, if it is a trouble there: the kind, and the target's name.
-fn target_trouble(kind: FaultKind, target: usize) -> Option<(TroubleKind, String)> {
+/// Returns the kind and subject with which the diagnosis should report a fault at one of its targets; `None` if it
+/// should not report the fault.
+fn reported_at_target(kind: FaultKind, target: usize) -> Option<(TroubleKind, String)> {
     match kind {
         FaultKind::Crash | FaultKind::Vanish => Some((TroubleKind::Crashed, server_name(target))),
         FaultKind::Silent => Some((TroubleKind::Silent, server_name(target))),
--- a/crates/ochrelead-scenario/src/detection/mod.rs
+++ b/crates/ochrelead-scenario/src/detection/mod.rs
@@ -1,4 +1,4 @@
-//! How well the diagnosis detects what a script did: troubles in the fronts' event logs, against the script.
+//! Compares the faults that the diagnosis detects in the fronts' event logs with the faults of the script.
 
 mod corruption;
 mod expected;
@@ -17,51 +17,51 @@
 use crate::capture::CapturedDatagram;
 use crate::rig_event::scenario_start;
 
-/// The most that the onset of a detected trouble may be off.
+/// The maximum error of the onset of a detected fault.
 const MAX_ONSET_ERROR: Span = Span::from_secs(3);
-/// The most that the end of a detected trouble may be off.
+/// The maximum error of the end of a detected fault.
 const MAX_END_ERROR: Span = Span::from_secs(5);
 
-/// A trouble that the script causes, and whether it was detected.
+/// A fault of the script that the diagnosis is expected to report, and whether it did.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ScriptedTrouble {
-    /// What the diagnosis should call it.
+pub struct ExpectedFault {
+    /// The kind that the diagnosis should report.
     pub kind: TroubleKind,
-    /// The server, front or member concerned; empty where it is the fleet.
+    /// The name of the affected server, front or tenant; empty for the whole fleet.
     pub subject: String,
-    /// When it begins, from the scenario's start.
+    /// When it begins, relative to the scenario's start.
     pub start: Span,
     /// How long it lasts.
     pub duration: Span,
-    /// What the diagnosis made of it; none where it was missed.
+    /// The matching fault that the diagnosis detected; `None` if it missed the fault.
     pub detected: Option<Trouble>,
 }
 
-/// The result for one scenario. Moments of troubles are counted from the scenario's start.
+/// The result for one scenario. Moments are relative to the scenario's start.
 #[derive(Clone, Debug, Default)]
 pub struct DetectionResult {
-    /// The script's troubles.
-    pub scripted: Vec<ScriptedTrouble>,
-    /// Troubles that were detected, but are in no script.
+    /// The faults of the script.
+    pub scripted: Vec<ExpectedFault>,
+    /// Detected faults that match none of the script.
     pub false_positives: Vec<Trouble>,
 }
 
-/// Why the event logs of a run can't be compared with its script.
+/// The error when the event logs of a run can't be compared with its script.
 #[derive(Debug, Error)]
 pub enum DetectionError {
-    /// The capture does not say when the scenario began.
-    #[error("the capture has no start")]
+    /// The capture has no start event of the scenario.
+    #[error("the capture has no start event of the scenario")]
     NoStart,
     /// The event logs can't be read.
     #[error(transparent)]
     EventLog(#[from] io::Error),
 }
 
-/// Compares the event logs of a run with its script. Where a seed is given, the logs are corrupted by it first.
+/// Compares the event logs of a run with its script. If a seed is given, the logs are first corrupted with it.
 ///
 /// # Errors
 ///
-/// Where the event logs can't be read, or the capture has no start.
+/// If the event logs can't be read, or the capture has no start event.
 pub fn compare(
     scenario: &Scenario,
     datagrams: &[CapturedDatagram],
@@ -73,7 +73,7 @@
     Ok(compare_logs(scenario, logs, start, corruption_seed))
 }
 
-/// Like [`compare`], with logs of a scenario that began at `start`.
+/// Like [`compare`], for logs that are already read and a scenario that started at `start`.
 pub fn compare_logs(
     scenario: &Scenario,
     logs: Vec<Log>,
@@ -85,34 +85,35 @@
         None => logs,
     };
     let incident = Incident::from_logs(&logs, Damage::default());
-    // The incident's clock is that of some front, the script's that of the last one, which is never corrupted.
+    // Times of the incident are on a clock that the diagnosis selects. The offset of the last front converts the
+    // scenario's start to that clock; its own clock stays correct if there is more than one front.
     let clock_offset_us = incident.incarnations.last().map_or(0, |summary| summary.clock_offset_us);
     let start = Moment::from_micros(start.micros().saturating_add_signed(clock_offset_us));
-    let since_start = |moment: Moment| Moment::START + moment.since(start);
+    let relative_to_start = |moment: Moment| Moment::START + moment.since(start);
     let troubles = incident.troubles.into_iter().map(|trouble| Trouble {
-        onset: since_start(trouble.onset),
-        end: trouble.end.map(since_start),
+        onset: relative_to_start(trouble.onset),
+        end: trouble.end.map(relative_to_start),
         ..trouble
     });
     match_troubles(scenario, troubles.collect())
 }
 
 fn match_troubles(scenario: &Scenario, mut troubles: Vec<Trouble>) -> DetectionResult {
-    let mut scripted = expected::scripted_troubles(scenario);
+    let mut scripted = expected::expected_faults(scenario);
     let scenario_end = Moment::START + scenario.duration;
     for expected in &mut scripted {
         if let Some(index) = troubles.iter().position(|trouble| expected.is_matched(trouble, scenario_end)) {
             expected.detected = Some(troubles.remove(index));
         }
     }
-    // Where more is offered than all servers together can carry, a detected overload is never wrong.
+    // If the normal load exceeds the servers' capacity, a detected overload is not a false positive.
     let is_overloaded = expected::exceeds_capacity(scenario, 1.0);
     troubles.retain(|trouble| !(is_overloaded && trouble.kind == TroubleKind::Overload));
     DetectionResult { scripted, false_positives: troubles }
 }
 
-impl ScriptedTrouble {
-    /// The moment at which it begins, counted from the scenario's start.
+impl ExpectedFault {
+    /// Returns when it begins, relative to the scenario's start.
     fn onset(&self) -> Moment {
         Moment::START + self.start
     }
@@ -131,26 +132,26 @@
     a.since(b).max(b.since(a))
 }
 
-/// The results of many scenarios for one kind of trouble.
+/// The results of several scenarios for one kind of fault.
 #[derive(Clone, Debug, Default)]
 pub struct DetectionTally {
-    /// How many the scripts had.
+    /// The number of faults in the scripts.
     pub scripted: usize,
-    /// How many of them were detected.
+    /// The number of these that were detected.
     pub detected: usize,
-    /// How many were detected that no script had.
+    /// The number of detected faults that match none of a script.
     pub false_positives: usize,
-    /// How far off the onsets of those detected were, in seconds.
+    /// The absolute errors of the detected onsets, in seconds.
     pub onset_errors: Vec<f64>,
 }
 
 impl DetectionTally {
-    /// Whether all was detected and nothing else.
+    /// Whether all faults were detected, without false positives.
     pub fn is_perfect(&self) -> bool {
         self.detected == self.scripted && self.false_positives == 0
     }
 
-    /// The middle of the onset errors, in seconds; none where nothing was detected.
+    /// Returns the median of the onset errors in seconds; `None` if nothing was detected.
     pub fn median_onset_error(&self) -> Option<f64> {
         let mut errors = self.onset_errors.clone();
         errors.sort_by(f64::total_cmp);
--- a/crates/ochrelead-scenario/src/invalid_file.rs
+++ b/crates/ochrelead-scenario/src/invalid_file.rs
@@ -1,11 +1,11 @@
-//! A configuration file or scenario that can't be used.
+//! The error for an invalid configuration file or scenario.
 
 use std::fmt;
 
 use ochrelead_config::diagnostic::Diagnostic;
 use thiserror::Error;
 
-/// All that is wrong with a file, one line each, so that an operator sees all of it at once.
+/// All errors in a file, printed one per line, so that an operator sees them at once.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct InvalidFile(pub Vec<Diagnostic>);
 
--- a/crates/ochrelead-scenario/src/lib.rs
+++ b/crates/ochrelead-scenario/src/lib.rs
@@ -1,14 +1,14 @@
-//! Scripted scenarios on loopback, and the auditor that judges them.
+//! Runs scripted scenarios on loopback sockets, and audits their captures.
 //!
-//! - [`participant`]: who sends and receives; [`loopback`]: under which addresses.
-//! - [`runner`]: one run of a scenario: processes, the relay between them, scripted faults, and the capture of every
-//!   datagram. [`process`]: what each of the processes executes.
-//! - [`policy`]: which policy decides in the fronts; [`baseline`]: textbook policies, for comparison.
-//! - [`capture`]: the capture file, written and read; [`rig_event`]: what the rig records in it.
-//! - [`audit`]: the five rules and the service level, from the capture and the script alone.
-//! - [`detection`]: how well the diagnosis detects what the script did.
-//! - [`load`]: how much one front carries, beside a bare relay.
-//! - [`invalid_file`]: the error for a configuration or scenario that can't be used.
+//! - [`participant`]: the senders and receivers of datagrams; [`loopback`]: their addresses.
+//! - [`runner`]: runs a scenario: starts the processes, relays and captures their datagrams, and injects scripted
+//!   faults. [`process`]: the main functions of the processes.
+//! - [`policy`]: the routing policy of the fronts; [`baseline`]: textbook policies for comparison.
+//! - [`capture`]: writes and reads capture files; [`rig_event`]: events of the test harness in them.
+//! - [`audit`]: checks the five rules and measures the service level, from the capture and the script only.
+//! - [`detection`]: compares the faults that the diagnosis detects with those of the script.
+//! - [`load`]: measures the throughput of one front, compared with a plain relay.
+//! - [`invalid_file`]: the error for an invalid configuration or scenario.
 
 pub mod audit;
 pub mod baseline;
--- a/crates/ochrelead-scenario/src/load/error.rs
+++ b/crates/ochrelead-scenario/src/load/error.rs
@@ -1,4 +1,4 @@
-//! Why a load can't be measured.
+//! The error when a load measurement fails.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -6,29 +6,29 @@
 
 use thiserror::Error;
 
-/// Why a load can't be measured.
+/// The error when a load measurement fails.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// A file or folder can't be used.
+    /// A file or folder can't be created or written.
     #[error("{}", path.display())]
     File {
         /// The file or folder.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// An address can't be listened on.
-    #[error("listen on {address}")]
+    /// A socket can't listen on its address.
+    #[error("can't listen on {address}")]
     Listen {
         /// The address.
         address: SocketAddrV4,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// The subject can't be bound to one core.
+    /// The subject's process can't be pinned to one core.
     #[error(transparent)]
     Affinity(#[from] rustix::io::Errno),
-    /// There is no room for the measured times.
+    /// The histogram of the measured times can't be created.
     #[error(transparent)]
     Histogram(#[from] hdrhistogram::CreationError),
     /// A measured time is out of the histogram's range.
--- a/crates/ochrelead-scenario/src/load/generator.rs
+++ b/crates/ochrelead-scenario/src/load/generator.rs
@@ -1,4 +1,4 @@
-//! The load generator: callers and the server in one loop.
+//! The load generator: emulates the callers and the server in one loop.
 
 use std::collections::{HashMap, VecDeque};
 use std::fs;
@@ -14,44 +14,45 @@
 use crate::loopback::LoopbackNetwork;
 use crate::participant::Participant;
 
-/// How long a call is established; short, so that releases are part of the load.
+/// The time for which a call is established; short enough that releases are part of the load.
 const CALL_DURATION: Duration = Duration::from_millis(200);
-/// The time before the measurement, as a part of its length: a front that has just started knows no answer times.
+/// The warm-up before the measurement is this fraction (1/n) of its length: a front that has just started has no
+/// answer times to base its decisions on.
 const WARM_UP_DIVISOR: u32 = 5;
-/// After the last call was offered, answers are waited for this long.
+/// The time for which answers are awaited after the last call.
 const TAIL: Duration = Duration::from_millis(100);
-/// The longest datagram that a subject sends.
+/// The size in bytes of the longest datagram that a subject sends.
 const MAX_DATAGRAM: usize = 4_096;
-/// The significant digits of measured times.
+/// The number of significant digits of the measured times.
 const HISTOGRAM_DIGITS: u8 = 3;
 
-/// A subject with its callers and its server.
+/// A running subject with the sockets of its callers and its server.
 pub(super) struct LoadGenerator {
     kind: Subject,
     subject: SubjectProcess,
     callers: UdpSocket,
     server: UdpSocket,
-    /// The last transaction of the callers.
+    /// The last transaction number of the callers.
     last_transaction: u32,
-    /// The last connection that the server has made.
+    /// The number of the last connection that the server created.
     last_connection: u32,
     buffer: [u8; MAX_DATAGRAM],
 }
 
-/// What one step has measured so far.
+/// The state of the measurement at one rate.
 struct Measurement {
-    /// Calls that are offered from now on count.
+    /// The end of the warm-up: only calls offered from this time on are measured.
     begin: Instant,
-    /// No call is offered from now on.
+    /// The time from which no more calls are offered.
     end: Instant,
     next_call_at: Instant,
-    /// The last call's number.
+    /// The number of the last call.
     last_call: u32,
     offered: u64,
     invited: u64,
-    /// When calls were offered whose INVITE has not been seen.
+    /// By attempt id: when the calls were offered whose INVITE has not been received.
     pending: HashMap<String, Instant>,
-    /// Established calls, by when they are released.
+    /// The release times and attempt ids of established calls, in order of time.
     established: VecDeque<(Instant, String)>,
     times_us: Histogram<u64>,
 }
@@ -73,7 +74,7 @@
         })
     }
 
-    /// Counts the first INVITE of a call; false where the call is not waited for.
+    /// Records the first INVITE of a call. Returns false if the call is not pending.
     fn on_invite(&mut self, attempt_id: &str) -> Result<bool, LoadError> {
         let Some(offered_at) = self.pending.remove(attempt_id) else { return Ok(false) };
         if offered_at >= self.begin {
@@ -89,7 +90,7 @@
 }
 
 impl LoadGenerator {
-    /// Starts a subject, and listens as its callers and its server.
+    /// Starts a subject, and opens the sockets of its callers and its server.
     pub(super) fn start(kind: Subject, output: &Path) -> Result<LoadGenerator, LoadError> {
         fs::create_dir_all(output).map_err(|error| LoadError::in_file(output, error))?;
         let addresses = LoopbackNetwork::new(kind as u8);
@@ -107,7 +108,7 @@
         })
     }
 
-    /// Offers calls at a rate, and stops the subject.
+    /// Offers `rate` calls per second for the given time after the warm-up, and stops the subject.
     pub(super) fn run(mut self, rate: u32, length: Duration) -> Result<LoadStep, LoadError> {
         let call_interval = Duration::from_secs(1) / rate;
         let mut measurement = Measurement::new(length)?;
@@ -160,7 +161,7 @@
         Ok(())
     }
 
-    /// Answers what has reached the server.
+    /// Answers the datagrams that have reached the server.
     fn serve_server(&mut self, measurement: &mut Measurement) -> Result<(), LoadError> {
         let set_up_verb = if self.kind == Subject::Relay { "NTFY" } else { "CRCX" };
         while let Some(text) = receive(&self.server, &mut self.buffer)? {
@@ -183,7 +184,7 @@
         Ok(())
     }
 
-    /// Answers what has reached the callers.
+    /// Answers the datagrams that have reached the callers.
     fn serve_callers(&mut self, measurement: &mut Measurement, now: Instant) -> Result<(), LoadError> {
         while let Some(text) = receive(&self.callers, &mut self.buffer)? {
             let is_established = match self.kind {
@@ -219,7 +220,7 @@
     Ok(socket)
 }
 
-/// The next datagram that waits in a socket.
+/// Receives the next datagram; `None` if there is none in the socket.
 fn receive(socket: &UdpSocket, buffer: &mut [u8]) -> Result<Option<String>, LoadError> {
     match socket.recv_from(buffer) {
         Ok((length, _)) => Ok(Some(String::from_utf8_lossy(&buffer[..length]).into_owned())),
@@ -228,12 +229,12 @@
     }
 }
 
-/// The second word of a command or response.
+/// Returns the transaction number, the second word of a command or response; "0" if there is none.
 fn transaction_of(text: &str) -> &str {
     text.split(' ').nth(1).unwrap_or("0")
 }
 
-/// The value behind a field's name, which includes its colon.
+/// Returns the value of the first field with this name, which includes the colon; empty if there is none.
 fn field<'a>(text: &'a str, name: &str) -> &'a str {
-    text.split_once(name).map_or("", |(_, rest)| rest.lines().next().unwrap_or("").trim())
+    text.split_once(name).map_or("", |(_, value)| value.lines().next().unwrap_or("").trim())
 }
--- a/crates/ochrelead-scenario/src/load/mod.rs
+++ b/crates/ochrelead-scenario/src/load/mod.rs
@@ -1,7 +1,7 @@
-//! How much one front carries on one core, beside a bare relay of the same datagrams in the same run.
+//! Measures the throughput of one front on one core, compared with a plain UDP relay in the same run.
 //!
-//! Calls come evenly. The time from a caller's datagram to the INVITE that it causes is measured where both are seen: at
-//! the sockets of the callers and of the server.
+//! Calls are offered at equal intervals. The latency is the time from sending a caller's datagram at the callers'
+//! socket to receiving the INVITE that it causes at the server's socket.
 
 mod error;
 mod generator;
@@ -15,26 +15,26 @@
 use generator::LoadGenerator;
 pub use relay::run_relay;
 
-/// Sessions a second at full fleet size, over all fronts.
+/// The sessions per second of the whole fleet at full size.
 pub const FLEET_SESSIONS_PER_S: u32 = 720;
-/// The 99th percentile that the front is to keep.
+/// The 99th percentile of the latency that a sustained rate must not exceed.
 const MAX_P99: Duration = Duration::from_millis(1);
-/// The percentage of the offered sessions that must have had their INVITE.
+/// The percentage of the offered sessions for which a sustained rate must cause an INVITE.
 const MIN_INVITED_PERCENT: u64 = 99;
 
-/// What is measured: the process between callers and server.
+/// The process under measurement, between the callers and the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
     /// A front.
     Front,
     /// A front that writes an event log.
     RecordingFront,
-    /// A bare relay.
+    /// A plain UDP relay.
     Relay,
 }
 
 impl Subject {
-    /// Its name in reports.
+    /// Returns its name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Subject::Front => "front",
@@ -47,32 +47,32 @@
 /// The measurement at one rate.
 #[derive(Clone, Debug)]
 pub struct LoadStep {
-    /// Sessions a second.
+    /// The offered sessions per second.
     pub rate: u32,
-    /// The sessions that were offered after the warm-up.
+    /// The number of sessions offered after the warm-up.
     pub offered: u64,
-    /// Those of them whose INVITE was seen.
+    /// The number of these sessions whose INVITE was received.
     pub invited: u64,
-    /// The median time from a caller's datagram to its INVITE.
+    /// The median latency.
     pub p50: Duration,
-    /// The 99th percentile of that time.
+    /// The 99th percentile of the latency.
     pub p99: Duration,
-    /// The processor time of the subject over the whole step, in clock ticks.
+    /// The CPU time of the subject over the whole step, in clock ticks.
     pub cpu_ticks: u64,
 }
 
 impl LoadStep {
-    /// Whether the subject kept the limit for nearly all that was offered.
+    /// Whether the subject kept the latency limit and sent an INVITE for nearly all offered sessions.
     pub fn is_sustained(&self) -> bool {
         self.p99 <= MAX_P99 && self.invited * 100 >= self.offered * MIN_INVITED_PERCENT
     }
 }
 
-/// Measures a subject at one rate after the other, until one is not sustained.
+/// Measures a subject at each rate in turn, and stops after the first rate that is not sustained.
 ///
 /// # Errors
 ///
-/// Where the subject can't be started, or a socket fails.
+/// If the subject can't be started, or a socket fails.
 pub fn measure(
     subject: Subject,
     rates: &[u32],
--- a/crates/ochrelead-scenario/src/load/relay.rs
+++ b/crates/ochrelead-scenario/src/load/relay.rs
@@ -1,15 +1,15 @@
-//! The bare relay that a front is compared with.
+//! The plain UDP relay with which a front is compared.
 
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 
 use super::LoadError;
 use crate::loopback::MAX_DATAGRAM;
 
-/// Passes datagrams of `callers` on to `server`, and all others to `callers`; ends with an error alone.
+/// Forwards datagrams from `callers` to `server`, and all others to `callers`; returns only with an error.
 ///
 /// # Errors
 ///
-/// Where it can't listen, or its socket fails.
+/// If it can't listen, or its socket fails.
 pub fn run_relay(listen: SocketAddrV4, callers: SocketAddrV4, server: SocketAddrV4) -> Result<(), LoadError> {
     let socket = UdpSocket::bind(listen).map_err(|error| LoadError::listen(listen, error))?;
     let mut buffer = [0; MAX_DATAGRAM];
--- a/crates/ochrelead-scenario/src/load/subject.rs
+++ b/crates/ochrelead-scenario/src/load/subject.rs
@@ -1,4 +1,4 @@
-//! The process that is measured.
+//! The process under measurement.
 
 use std::fs;
 use std::net::SocketAddrV4;
@@ -15,17 +15,17 @@
 use crate::loopback::LoopbackNetwork;
 use crate::participant::Participant;
 
-/// By then the process listens.
+/// The time to wait after the start of the process until it listens.
 const START_DELAY: Duration = Duration::from_millis(300);
 
-/// A running subject; it is killed when this is dropped.
+/// A running subject; its process is killed on drop.
 pub(super) struct SubjectProcess {
     child: Child,
     pub(super) address: SocketAddrV4,
 }
 
 impl SubjectProcess {
-    /// Starts a subject on one core, which nothing else of the measurement uses if there are others.
+    /// Starts a subject and pins it to the last core.
     pub(super) fn start(
         subject: Subject,
         addresses: LoopbackNetwork,
@@ -51,11 +51,11 @@
         Ok(process)
     }
 
-    /// Its user and system time in clock ticks (proc(5), fields 14 and 15 of `stat`); 0 where the system gives none.
+    /// Returns its user plus system time in clock ticks (proc(5), fields 14 and 15 of `stat`); 0 if it can't be read.
     pub(super) fn cpu_ticks(&self) -> u64 {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
-        // The name, field 2, may contain spaces.
-        let after_name = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
+        // The process name, field 2, may contain spaces.
+        let after_name = stat.rsplit_once(')').map_or("", |(_, fields)| fields);
         let times = after_name.split_whitespace().skip(11).take(2);
         times.filter_map(|field| field.parse::<u64>().ok()).sum()
     }
--- a/crates/ochrelead-scenario/src/loopback.rs
+++ b/crates/ochrelead-scenario/src/loopback.rs
@@ -4,34 +4,35 @@
 
 use crate::participant::Participant;
 
-/// The size of a buffer for any datagram.
+/// The size in bytes of a buffer that holds any UDP datagram.
 pub(crate) const MAX_DATAGRAM: usize = 65_536;
 
-/// The port on which every process listens.
+/// The port on which each process listens.
 const PROCESS_PORT: u16 = 2427;
-/// The relay's ports begin here.
+/// The lowest port of the relay.
 const FIRST_RELAY_PORT: u16 = 20_000;
 
-/// The loopback addresses of one run. Runs of one process, and those of other processes, use different networks.
+/// The loopback addresses of one run. The network depends on the process id and the run's number, so that concurrent
+/// runs do not share addresses.
 #[derive(Clone, Copy, Debug)]
 pub struct LoopbackNetwork {
-    /// The second and the third octet of all addresses.
+    /// The second and third octet of all addresses.
     octets: (u8, u8),
 }
 
 impl LoopbackNetwork {
-    /// The network of the run with this number in this process.
+    /// Returns the network of the run with this number in this process.
     pub fn new(run: u8) -> LoopbackNetwork {
         let pid = std::process::id();
         LoopbackNetwork { octets: ((pid % 199 + 20) as u8, (pid / 199 % 50) as u8 * 5 + run % 5) }
     }
 
-    /// Where a participant's process listens.
+    /// Returns the address on which a participant's process listens.
     pub fn listen_address(&self, participant: Participant) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip(participant), PROCESS_PORT)
     }
 
-    /// Where `peer` reaches `participant`: a socket of the relay.
+    /// Returns the relay's address at which `peer` reaches `participant`.
     pub fn relay_address(&self, participant: Participant, peer: Participant) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip(participant), FIRST_RELAY_PORT + u16::from(host_octet(peer)))
     }
--- a/crates/ochrelead-scenario/src/main.rs
+++ b/crates/ochrelead-scenario/src/main.rs
@@ -25,10 +25,10 @@
 
 use cli::{Arguments, Command, ProcessCommand};
 
-/// The exit code for usage and for all that fails but a rule.
-const FAILED: u8 = 2;
+/// The exit code for invalid usage and for all errors other than a rule violation.
+const EXIT_ERROR: u8 = 2;
 
-/// What the program found; anything else that fails is an error.
+/// The result of a command that ran without an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
     Passed,
@@ -49,7 +49,7 @@
             for line in format!("{error:#}").lines() {
                 eprintln!("ochrelead-scenario: {line}");
             }
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
@@ -77,8 +77,9 @@
 fn run_process(command: ProcessCommand) -> anyhow::Result<()> {
     match command {
         ProcessCommand::Front { settings, fleet, state, records, policy, seed } => {
-            let policy = PolicyKind::from_name(&policy)
-                .with_context(|| format!("--policy {policy}: no such policy"))?;
+            let policy = PolicyKind::from_name(&policy).with_context(|| {
+                format!("--policy {policy}: unknown policy; allowed: module, random, unbounded")
+            })?;
             process::run_front(&settings, FrontPaths { fleet, state, event_log: records }, policy, seed)?;
         }
         ProcessCommand::Server { emulator, number, restarted } => {
@@ -93,7 +94,7 @@
     Ok(())
 }
 
-/// Runs a scenario with all policies at once, and judges each run.
+/// Runs a scenario with all policies concurrently, or with the controller only if `alone`, and audits each run.
 fn run(scenario_file: &Path, output: &Path, alone: bool) -> anyhow::Result<Outcome> {
     let scenario = read_scenario(scenario_file)?;
     let policies: &[(&str, PolicyKind)] = if alone { &PolicyKind::ALL[..1] } else { &PolicyKind::ALL };
@@ -118,10 +119,10 @@
     Ok(outcome(&verdicts[0].1))
 }
 
-/// Runs scenarios at once, and shows the progress of the first.
+/// Runs scenarios concurrently, and shows the progress of the first.
 fn run_in_parallel(runs: &[ScenarioRun], duration_ms: u64) -> anyhow::Result<()> {
     let bar = ProgressBar::new(duration_ms);
-    bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} ms of the day")?);
+    bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} ms of the scenario")?);
     thread::scope(|scope| {
         let running: Vec<_> = runs
             .iter()
@@ -137,7 +138,7 @@
             })
             .collect();
         for run in running {
-            run.join().map_err(|_| anyhow::anyhow!("a run panicked"))??;
+            run.join().map_err(|_| anyhow::anyhow!("the thread of a scenario run panicked"))??;
         }
         Ok::<(), anyhow::Error>(())
     })?;
@@ -149,7 +150,7 @@
     let scenario = read_scenario(scenario)?;
     let verdict = audit::audit(&scenario, &capture::read_file(capture)?);
     report::print_verdict(&verdict);
-    report::print_service_course(&verdict.service_level);
+    report::print_service_level_series(&verdict.service_level);
     Ok(outcome(&verdict))
 }
 
--- a/crates/ochrelead-scenario/src/participant.rs
+++ b/crates/ochrelead-scenario/src/participant.rs
@@ -1,4 +1,4 @@
-//! Who sends and receives datagrams in a scenario, and the address that stands for each of them in a capture.
+//! The senders and receivers of datagrams in a scenario, and the addresses that represent them in a capture.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -9,9 +9,9 @@
     Front(u16),
     /// An emulated server, by its number.
     Server(u16),
-    /// The gateway of all emulated callers.
+    /// The gateway that emulates all callers.
     Gateway,
-    /// The test rig itself, which records what it does in the capture.
+    /// The test harness, which records its own events in the capture.
     Rig,
 }
 
@@ -19,16 +19,17 @@
 const CALL_AGENT_PORT: u16 = 2727;
 /// The MGCP port of gateways (RFC 3435 section 3.5).
 const GATEWAY_PORT: u16 = 2427;
-/// The port of the rig's records: discard (RFC 863).
-const RIG_PORT: u16 = 9;
+/// The port of the test harness's records: discard (RFC 863).
+const HARNESS_PORT: u16 = 9;
 
 impl Participant {
-    /// The address that stands for the participant in a capture; nothing is ever sent there.
+    /// Returns the address that represents the participant in a capture; no datagram is sent to it.
     ///
-    /// The second and the last octet count the participants of a kind, so that there is room for 65,000 of each.
+    /// The second and the last octet hold the participant's number plus 1, which gives 65,535 participants of each
+    /// kind.
     pub fn capture_address(self) -> SocketAddrV4 {
         let (kind, number, port) = match self {
-            Participant::Rig => (0, 1, RIG_PORT),
+            Participant::Rig => (0, 1, HARNESS_PORT),
             Participant::Front(front) => (1, front.saturating_add(1), CALL_AGENT_PORT),
             Participant::Server(server) => (2, server.saturating_add(1), GATEWAY_PORT),
             Participant::Gateway => (3, 1, GATEWAY_PORT),
@@ -37,7 +38,7 @@
         SocketAddrV4::new(Ipv4Addr::new(10, high, kind, low), port)
     }
 
-    /// The participant that an address stands for in a capture, if any.
+    /// Returns the participant that an address represents in a capture, if any.
     pub fn from_capture_address(address: SocketAddrV4) -> Option<Participant> {
         let [network, high, kind, low] = address.ip().octets();
         let number = u16::from_be_bytes([high, low]).checked_sub(1)?;
@@ -51,12 +52,12 @@
     }
 }
 
-/// The name of the front with this number.
+/// Returns the name of the front with this number.
 pub fn front_name(front: usize) -> String {
     format!("f{front}.example")
 }
 
-/// The domain of the endpoints of the server with this number.
+/// Returns the domain name of the endpoints of the server with this number.
 pub fn server_name(server: usize) -> String {
     format!("s{server}.line.example")
 }
--- a/crates/ochrelead-scenario/src/policy.rs
+++ b/crates/ochrelead-scenario/src/policy.rs
@@ -1,4 +1,4 @@
-//! Which policy decides in the fronts of a run.
+//! The routing policy of the fronts in a run.
 
 use ochrelead_core::config::ControllerConfig;
 use ochrelead_core::controller::Controller;
@@ -7,10 +7,10 @@
 
 use crate::baseline::{Baseline, BaselineKind};
 
-/// A policy that can decide in a front.
+/// A kind of routing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
-    /// The decision module.
+    /// The project's controller.
     Controller,
     /// The baseline [`BaselineKind::Random`].
     Random,
@@ -19,24 +19,25 @@
 }
 
 impl PolicyKind {
-    /// All policies with their names on the command line and in reports, the module's first.
+    /// All policies with their names on the command line and in reports; the controller is the first.
     pub const ALL: [(&'static str, PolicyKind); 3] = [
         ("module", PolicyKind::Controller),
         ("random", PolicyKind::Random),
         ("unbounded", PolicyKind::Unbounded),
     ];
 
-    /// The policy's name.
+    /// Returns the policy's name.
     pub fn name(self) -> &'static str {
         PolicyKind::ALL.iter().find(|(_, policy)| *policy == self).map_or("", |(name, _)| name)
     }
 
-    /// The policy with this name, if there is one.
+    /// Returns the policy with this name, if any.
     pub fn from_name(name: &str) -> Option<PolicyKind> {
         PolicyKind::ALL.iter().find(|(other, _)| *other == name).map(|(_, policy)| *policy)
     }
 
-    /// A policy of this kind, for a front with this configuration.
+    /// Builds a policy of this kind for a front with this configuration. Baselines give up an INVITE after the
+    /// longest post-dial target of the services.
     pub fn build(self, config: &ControllerConfig, now: Moment) -> Box<dyn CallPolicy + Send> {
         let baseline = |kind| -> Box<dyn CallPolicy + Send> {
             let targets = config.services.iter().map(|service| service.post_dial_target);
--- a/crates/ochrelead-scenario/src/process.rs
+++ b/crates/ochrelead-scenario/src/process.rs
@@ -1,4 +1,4 @@
-//! What each process of a run executes: a front, an emulated server, or all emulated callers.
+//! The main functions of the processes of a run: a front, an emulated server, and the emulated callers.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
@@ -25,27 +25,27 @@
 use crate::participant::server_name;
 use crate::policy::PolicyKind;
 
-/// An emulator looks at its socket and its clock at least so often.
+/// The longest time for which an emulator waits before it checks its socket and its timers again.
 const MAX_IDLE: Duration = Duration::from_secs(1);
 
-/// Why a process can't do its work.
+/// The error when a process can't start or fails.
 #[derive(Debug, Error)]
 pub enum ProcessError {
     /// Its configuration is invalid.
     #[error(transparent)]
     InvalidConfig(#[from] InvalidFile),
-    /// It can't listen on its address.
-    #[error("listen on {address}")]
+    /// The process can't listen on its address.
+    #[error("can't listen on {address}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// The scenario has no server of this number.
-    #[error("there are only {count} servers")]
+    /// The scenario has no server with this number.
+    #[error("no server with this number: the scenario has {count} servers, numbered from 0")]
     NoSuchServer {
-        /// How many servers it has.
+        /// The number of servers in the scenario.
         count: usize,
     },
     /// A socket or a file failed.
@@ -53,22 +53,22 @@
     Io(#[from] io::Error),
 }
 
-/// What an emulator has to know of the run it is part of.
+/// The settings of an emulator that depend on the run.
 #[derive(Clone, Debug)]
 pub struct EmulatorConfig {
-    /// Where it listens.
+    /// The address on which it listens.
     pub listen: SocketAddrV4,
-    /// Where it reaches the fronts, in their order.
+    /// The addresses of the fronts, by front number.
     pub fronts: Vec<SocketAddr>,
-    /// When the scenario begins.
+    /// When the scenario starts.
     pub start: Moment,
 }
 
-/// Runs a front as its own program does, but for the policy that decides in it.
+/// Runs a front like the program `ochrelead-front`, but with a selectable routing policy.
 ///
 /// # Errors
 ///
-/// Where the configuration is invalid, or the front can't serve.
+/// If the configuration is invalid, or the front can't serve.
 pub fn run_front(
     config_file: &Path,
     paths: FrontPaths,
@@ -89,11 +89,11 @@
     Ok(future::block_on(host::serve(config, new_engine, socket, clock, paths))?)
 }
 
-/// Runs an emulated server; `restarted` where it takes the place of a former one.
+/// Runs an emulated server; `restarted` is true if it replaces a process that was killed.
 ///
 /// # Errors
 ///
-/// Where the scenario has no such server, or it can't listen.
+/// If the scenario has no such server, or the server can't listen.
 pub fn run_server(
     scenario: &Scenario,
     server: usize,
@@ -120,14 +120,14 @@
 ///
 /// # Errors
 ///
-/// Where they can't listen.
+/// If they can't listen.
 pub fn run_callers(scenario: Scenario, config: EmulatorConfig) -> Result<(), ProcessError> {
     let clock = Clock::start();
     let EmulatorConfig { listen, fronts, start } = config;
     run_emulator(Callers::new(scenario, fronts, start, clock.now()), listen, clock)
 }
 
-/// Hosts an emulator: owns its socket and its clock.
+/// Runs an emulator on a UDP socket and the real clock; returns only with an error.
 fn run_emulator(mut peer: impl Peer, address: SocketAddrV4, clock: Clock) -> Result<(), ProcessError> {
     let socket = Async::new(listen(SocketAddr::V4(address))?)?;
     let mut buffer = vec![0; MAX_DATAGRAM];
@@ -138,22 +138,22 @@
             }
             peer.process(clock.now());
             while let Some((to, bytes)) = peer.poll_datagram() {
-                // A datagram that can't leave is lost, as on any network.
+                // A datagram that can't be sent is dropped, as on a real network.
                 let _ = socket.get_ref().send_to(&bytes, to);
             }
-            let alarm = clock.timer(peer.poll_timeout());
-            wait_for_work(&socket, alarm).await;
+            let timeout = clock.timer(peer.poll_timeout());
+            wait_for_work(&socket, timeout).await;
         }
     })
 }
 
-/// Waits until the socket can be read, the alarm goes off, or the longest idle time is over.
-async fn wait_for_work(socket: &Async<UdpSocket>, alarm: Timer) {
+/// Waits until the socket is readable, the timer expires, or [`MAX_IDLE`] has passed.
+async fn wait_for_work(socket: &Async<UdpSocket>, timeout: Timer) {
     let readable = async {
         let _ = socket.readable().await;
     };
     let timers = async {
-        let _ = future::or(alarm, Timer::after(MAX_IDLE)).await;
+        let _ = future::or(timeout, Timer::after(MAX_IDLE)).await;
     };
     future::or(readable, timers).await;
 }
--- a/crates/ochrelead-scenario/src/report.rs
+++ b/crates/ochrelead-scenario/src/report.rs
@@ -1,18 +1,18 @@
-//! What the program prints.
+//! The reports that the program prints.
 
 use std::collections::BTreeMap;
 
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_diagnosis::trouble::{Trouble, TroubleKind};
 use ochrelead_scenario::audit::{Rule, ServiceLevel, Verdict};
-use ochrelead_scenario::detection::{DetectionResult, DetectionTally, ScriptedTrouble};
+use ochrelead_scenario::detection::{DetectionResult, DetectionTally, ExpectedFault};
 use ochrelead_scenario::load::{FLEET_SESSIONS_PER_S, LoadStep, Subject};
 use ochrelead_scenario::policy::PolicyKind;
 
-/// No more violations are printed one by one.
+/// The maximum number of violations that are printed individually.
 const MAX_VIOLATIONS: usize = 20;
 
-/// The rules, what was examined of each, and the first violations.
+/// Prints the result for each rule, the drain delays and overflow if measured, and the first violations.
 pub(crate) fn print_verdict(verdict: &Verdict) {
     let ServiceLevel { offered, established, cut, .. } = &verdict.service_level;
     println!("{offered} callers, {established} stood, {cut} of them cut; on simulated servers\n");
@@ -69,7 +69,7 @@
     );
 }
 
-/// The service level of several policies, and the ceiling.
+/// Prints the service level of several policies, and the capacity ceiling.
 pub(crate) fn print_policies(verdicts: &[(PolicyKind, Verdict)]) {
     println!(
         "\n{:<12} {:>7} {:>11} {:>9} {:>8} {:>6}",
@@ -89,33 +89,33 @@
     println!("{:<12} {ceiling:>7.3}  (by the servers' true capacity alone)", "ceiling");
 }
 
-/// The service level in the course of a scenario.
-pub(crate) fn print_service_course(service_level: &ServiceLevel) {
+/// Prints the service level as a time series over the scenario.
+pub(crate) fn print_service_level_series(service_level: &ServiceLevel) {
     let shares: Vec<String> = service_level.by_interval.iter().map(|share| format!("{share:.2}")).collect();
     println!("\nby five seconds: {}", shares.join(" "));
     println!("service {:.3}, worst 10 s {:.3}", service_level.overall, service_level.worst_window);
 }
 
-/// What was detected of one scenario.
+/// Prints the detection result of one scenario.
 pub(crate) fn print_detection(result: &DetectionResult) {
     for scripted in &result.scripted {
-        print_scripted(scripted);
+        print_expected_fault(scripted);
     }
     for trouble in &result.false_positives {
-        let (onset, end) = (seconds_at(trouble.onset), end_of(trouble));
+        let (onset, end) = (seconds_at(trouble.onset), format_end(trouble));
         println!("invented, {onset:.1} to {end}: {trouble}");
     }
 }
 
-fn print_scripted(scripted: &ScriptedTrouble) {
-    let (start, end) = (seconds(scripted.start), seconds(scripted.start + scripted.duration));
-    let result = scripted.detected.as_ref().map_or("missed".to_owned(), |trouble| {
-        format!("found {:.1} to {}", seconds_at(trouble.onset), end_of(trouble))
+fn print_expected_fault(expected: &ExpectedFault) {
+    let (start, end) = (seconds(expected.start), seconds(expected.start + expected.duration));
+    let result = expected.detected.as_ref().map_or("missed".to_owned(), |trouble| {
+        format!("found {:.1} to {}", seconds_at(trouble.onset), format_end(trouble))
     });
-    println!("{} {}: scripted {start:.1} to {end:.1}, {result}", scripted.kind.name(), scripted.subject);
+    println!("{} {}: scripted {start:.1} to {end:.1}, {result}", expected.kind.name(), expected.subject);
 }
 
-fn end_of(trouble: &Trouble) -> String {
+fn format_end(trouble: &Trouble) -> String {
     trouble.end.map_or("lasts".to_owned(), |end| format!("{:.1}", seconds_at(end)))
 }
 
@@ -127,7 +127,7 @@
     seconds(moment.since(Moment::START))
 }
 
-/// What was detected of many scenarios, by kind.
+/// Prints the detection results of several scenarios, by kind of fault.
 pub(crate) fn print_detection_tallies(tallies: &BTreeMap<TroubleKind, DetectionTally>) {
     println!("\n{:<38} {:>8} {:>6} {:>9} {:>9}", "kind", "scripted", "found", "invented", "onset off");
     for (kind, tally) in tallies {
@@ -137,12 +137,12 @@
     }
 }
 
-/// The head of the table of load steps.
+/// Prints the header of the table of load steps.
 pub(crate) fn print_load_header() {
     println!("{:<7} {:>11} {:>9} {:>9} {:>9}", "between", "sessions/s", "INVITEs", "p50 us", "p99 us");
 }
 
-/// The steps of one subject.
+/// Prints the load steps of one subject.
 pub(crate) fn print_load_steps(subject: Subject, steps: &[LoadStep]) {
     for step in steps {
         let invited_share = step.invited as f64 / step.offered.max(1) as f64;
@@ -151,7 +151,7 @@
     }
 }
 
-/// The front beside the relay, and the cost of the event log.
+/// Prints the throughput of the front relative to the relay, and the CPU cost of the event log.
 pub(crate) fn print_load_summary(relay: &[LoadStep], front: &[LoadStep], recording: &[LoadStep]) {
     let (relay_rate, front_rate) = (f64::from(sustained_rate(relay)), f64::from(sustained_rate(front)));
     println!(
@@ -160,7 +160,7 @@
         FLEET_SESSIONS_PER_S,
         front_rate / relay_rate.max(1.0)
     );
-    // Both fronts at the rates at which both were measured.
+    // Compares the CPU time only at rates at which both fronts were measured.
     let common = front.iter().zip(recording).filter(|(front, recording)| front.rate == recording.rate);
     let (front_ticks, recording_ticks) =
         common.fold((0, 0), |(front_sum, recording_sum), (front, recording)| {
@@ -170,7 +170,7 @@
     println!("recording: {cost:.3} times the processor time");
 }
 
-/// The highest rate that was sustained; 0 where none was.
+/// Returns the highest sustained rate; 0 if none was sustained.
 fn sustained_rate(steps: &[LoadStep]) -> u32 {
     steps.iter().filter(|step| step.is_sustained()).map(|step| step.rate).max().unwrap_or(0)
 }
--- a/crates/ochrelead-scenario/src/rig_event.rs
+++ b/crates/ochrelead-scenario/src/rig_event.rs
@@ -1,4 +1,4 @@
-//! What the rig does in a scenario, as the capture records it.
+//! Events of the test harness in a run, as recorded in the capture.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -10,24 +10,24 @@
 use crate::capture::CapturedDatagram;
 use crate::participant::Participant;
 
-/// One thing that the rig did. Its text is the payload of a datagram in the capture.
+/// An action of the test harness. Its text is stored as the payload of a datagram in the capture.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RigEvent {
-    /// The scenario begins at this moment on the capture's clock.
+    /// The scenario starts at this moment on the capture's clock.
     ScenarioStart(Moment),
     /// A participant's process was killed.
     Killed(Participant),
-    /// A participant's process is about to be started anew.
+    /// A participant's process is about to be restarted.
     Restarted(Participant),
     /// A participant's process was stopped (SIGSTOP).
     Suspended(Participant),
-    /// A participant's process goes on (SIGCONT).
+    /// A participant's process was continued (SIGCONT).
     Resumed(Participant),
-    /// A front's endpoint file is whole on disk.
+    /// A valid endpoint file of a front was completely written.
     EndpointFileWritten {
         /// The front that reads the file.
         front: Participant,
-        /// The server that drains by it.
+        /// The server that it marks as draining, if any.
         draining: Option<u16>,
     },
     /// The scenario has ended.
@@ -53,9 +53,11 @@
     }
 }
 
-/// A text that is no event of the rig.
+/// The error for a text that is not a harness event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("not an event of the rig")]
+#[error(
+    "not a test harness event: expected start, kill, begin, halt, resume, fleet or end with its operands"
+)]
 pub struct ParseRigEventError;
 
 impl FromStr for RigEvent {
@@ -91,7 +93,7 @@
 }
 
 impl RigEvent {
-    /// The event that a captured datagram records, if it is one of the rig's.
+    /// Parses the event that a captured datagram records; `None` if the harness did not send it.
     pub fn from_datagram(datagram: &CapturedDatagram) -> Option<RigEvent> {
         if datagram.from != Participant::Rig {
             return None;
@@ -99,7 +101,7 @@
         String::from_utf8_lossy(&datagram.bytes).parse().ok()
     }
 
-    /// The record of this event in a capture.
+    /// Converts the event to its record in a capture.
     pub fn into_datagram(self, time: Moment) -> CapturedDatagram {
         CapturedDatagram {
             time,
@@ -111,7 +113,7 @@
     }
 }
 
-/// When the scenario of a capture began, on the capture's clock; none where the capture has no start.
+/// Returns when the scenario of a capture started, on the capture's clock; `None` if no start event is recorded.
 pub fn scenario_start(datagrams: &[CapturedDatagram]) -> Option<Moment> {
     datagrams.iter().find_map(|datagram| match RigEvent::from_datagram(datagram) {
         Some(RigEvent::ScenarioStart(start)) => Some(start),
--- a/crates/ochrelead-scenario/src/runner/endpoint_churn.rs
+++ b/crates/ochrelead-scenario/src/runner/endpoint_churn.rs
@@ -1,4 +1,4 @@
-//! Endpoint files that are rewritten all the time, some of them broken.
+//! Rewrites endpoint files at a fixed interval, some of them with invalid content.
 
 use std::fs;
 use std::path::PathBuf;
@@ -15,17 +15,17 @@
 use crate::participant::Participant;
 use crate::rig_event::RigEvent;
 
-/// The generation that each front starts with.
+/// The generation of the file with which each front starts.
 const FIRST_GENERATION: u64 = 1;
 
-/// What is wrong with a broken file.
+/// The fault in an invalid file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Corruption {
-    /// A weight that is not allowed.
+    /// A server has the weight 0, which is not allowed.
     ZeroWeight,
-    /// The file ends early: after this number of bytes, modulo its length.
+    /// The file is truncated to this number of bytes modulo its length.
     Truncated(usize),
-    /// The file ends with a message that is not closed.
+    /// The file ends with an unclosed message.
     UnclosedMessage,
 }
 
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Revision {
     generation: u64,
-    /// The server that drains.
+    /// The server that is marked as draining.
     draining: Option<usize>,
     corruption: Option<Corruption>,
 }
@@ -56,7 +56,7 @@
 }
 
 impl EndpointFile {
-    /// Makes the folder for a front's endpoint file.
+    /// Creates the folder for a front's endpoint file.
     pub(super) fn create(run: &ScenarioRun, front: Participant) -> Result<EndpointFile, RunError> {
         let folder = run.endpoint_folder(front);
         fs::create_dir_all(&folder).map_err(|error| RunError::in_file(&folder, error))?;
@@ -68,12 +68,12 @@
         Ok(EndpointFile { front, folder, servers: servers.collect() })
     }
 
-    /// Writes the version with which the front starts.
+    /// Writes the version that the front reads at its start.
     pub(super) fn write_first(&self) -> Result<(), RunError> {
         self.write(Revision { generation: FIRST_GENERATION, draining: None, corruption: None })
     }
 
-    /// Writes a version; in turn in place, and beside the file and renamed.
+    /// Writes a version: even generations in place, odd ones to a temporary file that is renamed.
     fn write(&self, revision: Revision) -> Result<(), RunError> {
         let text = self.text(revision);
         let file = self.folder.join("fleet.textproto");
@@ -107,7 +107,7 @@
     }
 }
 
-/// Rewrites the endpoint files of all fronts until the scenario ends.
+/// The task that rewrites the endpoint files of all fronts until the scenario ends.
 pub(super) struct EndpointChurnTask {
     churn: EndpointChurn,
     files: Vec<EndpointFile>,
@@ -144,16 +144,16 @@
         }
     }
 
-    /// Writes a generation of all files, and records each sound one in the capture.
+    /// Writes a generation of all files, and records each valid file in the capture.
     fn rewrite(&mut self, generation: u64) {
         let draining = self.draining_server();
         for file in &self.files {
-            let is_broken = self.rng.random::<f64>() < self.churn.broken_share;
+            let is_invalid = self.rng.random::<f64>() < self.churn.broken_share;
             let sample = self.rng.random::<u32>();
-            let corruption = is_broken.then(|| Corruption::from_sample(sample));
+            let corruption = is_invalid.then(|| Corruption::from_sample(sample));
             let mut written = file.write(Revision { generation, draining, corruption });
             let mut relay = self.relay.borrow_mut();
-            if written.is_ok() && !is_broken {
+            if written.is_ok() && !is_invalid {
                 let draining = draining.map(|server| server as u16);
                 let event = RigEvent::EndpointFileWritten { front: file.front, draining };
                 written = relay.record_event(self.clock.now(), event);
@@ -164,10 +164,11 @@
         }
     }
 
-    /// One server after the other drains, with a pause between.
+    /// Returns the server that drains now. Phases of `drain_time` alternate: in odd phases the servers drain in turn,
+    /// in even ones none does.
     fn draining_server(&self) -> Option<usize> {
         let elapsed = self.clock.now().since(self.start);
-        let turn = (elapsed.micros() / self.churn.drain_time.micros()) as usize;
-        (turn % 2 == 1).then_some(turn / 2 % self.churn.weights.len())
+        let phase = (elapsed.micros() / self.churn.drain_time.micros()) as usize;
+        (phase % 2 == 1).then_some(phase / 2 % self.churn.weights.len())
     }
 }
--- a/crates/ochrelead-scenario/src/runner/error.rs
+++ b/crates/ochrelead-scenario/src/runner/error.rs
@@ -1,4 +1,4 @@
-//! Why a scenario can't be run.
+//! The error when a scenario can't be run.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -10,58 +10,60 @@
 use crate::capture::CaptureError;
 use crate::participant::Participant;
 
-/// Why a scenario can't be run to its end.
+/// The error when a scenario can't be run to its end.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// There are not enough addresses for its fronts.
-    #[error("real processes play days of up to {limit} fronts; ochrelead-sim plays this one")]
+    /// The scenario has more fronts than there are addresses.
+    #[error(
+        "too many fronts: this program runs scenarios with up to {limit} fronts; use ochrelead-sim for this one"
+    )]
     TooManyFronts {
-        /// The number of fronts that there may be.
+        /// The maximum number of fronts.
         limit: usize,
     },
-    /// It has a fault that only the simulator can inject.
-    #[error("no real process has such a clock or disk: {fault}; ochrelead-sim plays this day")]
+    /// The scenario has a fault that only the simulator can inject.
+    #[error("fault {fault} needs an emulated clock or disk; use ochrelead-sim for this scenario")]
     EmulatedOnly {
         /// The name of the fault's kind.
         fault: &'static str,
     },
-    /// A file or folder can't be used.
+    /// A file or folder can't be read or written.
     #[error("{}", path.display())]
     File {
         /// The file or folder.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
     /// The relay can't listen on one of its addresses.
-    #[error("relay on {address}")]
+    #[error("the relay can't listen on {address}")]
     Relay {
         /// The address.
         address: SocketAddrV4,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
     /// A process can't be started.
-    #[error("start {participant:?}")]
+    #[error("can't start the process of {participant:?}")]
     Start {
-        /// Whose process.
+        /// The participant whose process it is.
         participant: Participant,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// A process has ended that should have gone on.
-    #[error("{participant:?} ended by itself: {status}")]
+    /// A process exited although the script does not end it.
+    #[error("the process of {participant:?} exited unexpectedly: {status}")]
     ProcessEnded {
-        /// Whose process.
+        /// The participant whose process it is.
         participant: Participant,
-        /// How it ended.
+        /// Its exit status.
         status: ExitStatus,
     },
-    /// The rig has no process that could be started.
-    #[error("the rig is no process of its own")]
-    RigHasNoProcess,
-    /// A task still uses the relay after the run.
-    #[error("the relay still runs")]
+    /// A process was requested for the test harness, which has none.
+    #[error("the test harness has no process to start")]
+    HarnessHasNoProcess,
+    /// A task still holds the relay after the run.
+    #[error("a task still uses the relay after the run")]
     RelayInUse,
     /// The capture can't be written.
     #[error(transparent)]
--- a/crates/ochrelead-scenario/src/runner/front_files.rs
+++ b/crates/ochrelead-scenario/src/runner/front_files.rs
@@ -1,4 +1,4 @@
-//! The files of the fronts: configurations, states and endpoints.
+//! The files of the fronts: configuration, state and endpoint list.
 
 use std::fs;
 use std::path::PathBuf;
@@ -10,22 +10,22 @@
 use crate::participant::{Participant, front_name, server_name};
 
 impl ScenarioRun {
-    /// A front's configuration file. The names of its other files are made from it.
+    /// Returns a front's configuration file. The names of its other files derive from it.
     pub(super) fn front_config_file(&self, front: Participant) -> PathBuf {
         self.output.join(format!("front-{}.textproto", front.capture_address().ip().octets()[3]))
     }
 
-    /// The folder with a front's state.
+    /// Returns the folder with a front's state.
     pub(super) fn front_state_folder(&self, front: Participant) -> PathBuf {
         self.front_config_file(front).with_extension("state")
     }
 
-    /// The folder with a front's endpoint file, where the scenario has such files.
+    /// Returns the folder with a front's endpoint file, which exists if the scenario rewrites endpoint files.
     pub(super) fn endpoint_folder(&self, front: Participant) -> PathBuf {
         self.front_config_file(front).with_extension("fleet")
     }
 
-    /// Writes a front's configuration and first endpoint file, and removes the state of a former run.
+    /// Writes a front's configuration and first endpoint file, and removes the state of a previous run.
     pub(super) fn write_front_files(&self, front: Participant) -> Result<(), RunError> {
         if self.scenario.churn.is_some() {
             EndpointFile::create(self, front)?.write_first()?;
@@ -39,7 +39,7 @@
         fs::write(&config_file, text).map_err(|error| RunError::in_file(&config_file, error))
     }
 
-    /// A front's configuration, with the servers at the relay's addresses.
+    /// Returns a front's configuration. Without endpoint files it lists the servers at the relay's addresses.
     fn front_config(&self, front: Participant) -> schema::Front {
         let number = usize::from(front.capture_address().ip().octets()[3]) - 1;
         let servers = (0..self.scenario.servers.len()).map(|server| self.server_entry(server, front));
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A server as a front's files list it.
+    /// Returns the entry of a server in a front's files.
     pub(super) fn server_entry(&self, server: usize, front: Participant) -> schema::Server {
         let participant = Participant::Server(server as u16);
         schema::Server {
--- a/crates/ochrelead-scenario/src/runner/mod.rs
+++ b/crates/ochrelead-scenario/src/runner/mod.rs
@@ -1,10 +1,10 @@
-//! Runs a scenario in real time: a process for each participant, a relay between all of them that emulates the network
-//! and captures every datagram, and faults as scripted.
+//! Runs a scenario in real time: starts a process for each participant, relays their datagrams through an emulated
+//! network, captures each datagram, and injects the scripted faults.
 //!
-//! - `processes`: the processes and their command lines.
-//! - `front_files`: the fronts' configurations; `endpoint_churn`: endpoint files that change all the time.
-//! - `relay`: the sockets between the processes.
-//! - `script`: what happens to processes, and when.
+//! - `processes`: the running processes; `process_commands`: their command lines.
+//! - `front_files`: the fronts' configurations; `endpoint_churn`: endpoint files that are rewritten at an interval.
+//! - `relay`: the sockets between the processes, and the capture.
+//! - `script`: the scripted actions on processes.
 
 mod endpoint_churn;
 mod error;
@@ -33,9 +33,9 @@
 use relay::Relay;
 use script::ScriptPlayer;
 
-/// The time from the start of the processes to that of the scenario, by when all of them are up.
+/// The time from the start of the processes to the start of the scenario, within which all of them are ready.
 const START_DELAY: Duration = Duration::from_millis(700);
-/// Each front needs an address of its own.
+/// The maximum number of fronts; each needs a distinct loopback address.
 const MAX_FRONTS: usize = 200;
 
 /// One run of a scenario with one policy.
@@ -44,22 +44,22 @@
     pub scenario: Scenario,
     /// The file that it was read from.
     pub scenario_file: PathBuf,
-    /// Where the capture and the fronts' files go.
+    /// The folder for the capture and the fronts' files.
     pub output: PathBuf,
     /// The addresses of the processes.
     pub network: LoopbackNetwork,
-    /// The policy that decides in the fronts.
+    /// The routing policy of the fronts.
     pub policy: PolicyKind,
 }
 
 impl ScenarioRun {
-    /// Runs the scenario. `on_progress` gets the milliseconds of it that have passed.
+    /// Runs the scenario. Calls `on_progress` with the milliseconds since the scenario's start.
     ///
     /// # Errors
     ///
-    /// Where real processes can't run this scenario, one of them fails, or a file can't be written.
+    /// If real processes can't run this scenario, one of them fails, or a file can't be written.
     pub fn run(&self, on_progress: impl Fn(u64)) -> Result<(), RunError> {
-        self.check_feasible()?;
+        self.check_supported()?;
         self.prepare_output()?;
         let clock = Clock::start();
         let start = clock.now() + Span::from_micros(START_DELAY.as_micros() as u64);
@@ -75,13 +75,13 @@
             executor.spawn(task.run()).detach();
         }
         let mut player = ScriptPlayer { run: self, start, clock, relay: &relay, processes: &mut processes };
-        let played = future::block_on(executor.run(player.play(on_progress)));
-        processes.end();
+        let result = future::block_on(executor.run(player.play(on_progress)));
+        processes.kill_all();
         drop(executor);
-        relay::close(relay, played)
+        relay::close(relay, result)
     }
 
-    fn check_feasible(&self) -> Result<(), RunError> {
+    fn check_supported(&self) -> Result<(), RunError> {
         if self.scenario.fronts > MAX_FRONTS {
             return Err(RunError::TooManyFronts { limit: MAX_FRONTS });
         }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Makes the output folder, without the event logs of a former run, and with the scenario in it.
+    /// Creates the output folder, removes the event logs of a previous run, and copies the scenario into it.
     fn prepare_output(&self) -> Result<(), RunError> {
         fs::create_dir_all(&self.output).map_err(|error| RunError::in_file(&self.output, error))?;
         let event_logs = event_log_folder(&self.output);
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    /// Starts the servers, then the fronts, then the callers.
+    /// Starts the servers, then the fronts, then the gateway of the callers.
     fn start_processes(&self, start: Moment) -> Result<Processes, RunError> {
         let mut processes = Processes::default();
         for participant in self.servers().chain(self.fronts()).chain([Participant::Gateway]) {
@@ -123,17 +123,17 @@
     }
 }
 
-/// The capture in the output folder of a run.
+/// Returns the capture in the output folder of a run.
 pub fn capture_file(output: &Path) -> PathBuf {
     output.join("capture.pcap")
 }
 
-/// The scenario in the output folder of a run.
+/// Returns the copy of the scenario in the output folder of a run.
 pub fn scenario_file(output: &Path) -> PathBuf {
     output.join("day.textproto")
 }
 
-/// The fronts' event logs in the output folder of a run.
+/// Returns the folder of the fronts' event logs in the output folder of a run.
 pub fn event_log_folder(output: &Path) -> PathBuf {
     output.join("records")
 }
--- a/crates/ochrelead-scenario/src/runner/process_commands.rs
+++ b/crates/ochrelead-scenario/src/runner/process_commands.rs
@@ -1,4 +1,4 @@
-//! The command lines of the processes: this program again, as one participant.
+//! The command lines of the processes: each runs this program as one participant.
 
 use std::process::{Command, Stdio};
 
@@ -8,7 +8,7 @@
 use crate::participant::Participant;
 
 impl ScenarioRun {
-    /// The command that runs a participant; `restarted` where it takes the place of a former process.
+    /// Returns the command that runs a participant; `restarted` is true if it replaces a process that was killed.
     pub(super) fn command(
         &self,
         participant: Participant,
@@ -31,7 +31,7 @@
                 command.arg("callers");
                 self.add_emulator_arguments(&mut command, participant, start);
             }
-            Participant::Rig => return Err(RunError::RigHasNoProcess),
+            Participant::Rig => return Err(RunError::HarnessHasNoProcess),
         }
         command.stdin(Stdio::null());
         Ok(command)
--- a/crates/ochrelead-scenario/src/runner/processes.rs
+++ b/crates/ochrelead-scenario/src/runner/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of a run.
+//! The running processes of a scenario.
 
 use std::collections::BTreeMap;
 use std::process::{Child, Command};
@@ -8,7 +8,7 @@
 use super::RunError;
 use crate::participant::Participant;
 
-/// The running processes; all of them are killed when this is dropped.
+/// The running processes; they are killed on drop.
 #[derive(Default)]
 pub(super) struct Processes {
     running: BTreeMap<Participant, Child>,
@@ -38,11 +38,11 @@
         Ok(())
     }
 
-    pub(super) fn has_ended(&mut self, participant: Participant) -> bool {
+    pub(super) fn has_exited(&mut self, participant: Participant) -> bool {
         self.running.get_mut(&participant).is_none_or(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 
-    /// Fails where a process has ended by itself.
+    /// Returns an error if a process has exited.
     pub(super) fn check_running(&mut self) -> Result<(), RunError> {
         for (participant, child) in &mut self.running {
             if let Some(status) = child.try_wait()? {
@@ -52,8 +52,8 @@
         Ok(())
     }
 
-    /// Kills all processes and waits for their ends.
-    pub(super) fn end(&mut self) {
+    /// Kills all processes and waits until they have exited.
+    pub(super) fn kill_all(&mut self) {
         for child in self.running.values_mut() {
             let _ = child.kill();
             let _ = child.wait();
@@ -63,6 +63,6 @@
 
 impl Drop for Processes {
     fn drop(&mut self) {
-        self.end();
+        self.kill_all();
     }
 }
--- a/crates/ochrelead-scenario/src/runner/relay.rs
+++ b/crates/ochrelead-scenario/src/runner/relay.rs
@@ -1,5 +1,5 @@
-//! The relay between all processes. Each participant reaches each other one at a socket of its own; the relay passes
-//! datagrams on as the emulated network does, and captures both ends of the way.
+//! The relay between all processes. It has one socket for each pair of sender and receiver, forwards datagrams
+//! through the emulated network, and captures each datagram when it is sent and when it is delivered.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -22,22 +22,22 @@
 use crate::participant::Participant;
 use crate::rig_event::RigEvent;
 
-/// One direction between two participants.
+/// A sender and receiver of datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Route {
     from: Participant,
     to: Participant,
 }
 
-/// The relay, as its tasks share it.
+/// The relay, shared by its tasks.
 pub(super) type SharedRelay = Rc<RefCell<Relay>>;
 
 pub(super) struct Relay {
     network: Network<Participant>,
     capture: CaptureWriter<BufWriter<File>>,
-    /// For each route the socket at which its sender reaches its receiver.
+    /// By route: the socket to which the sender sends datagrams for the receiver.
     sockets: BTreeMap<Route, Rc<Async<UdpSocket>>>,
-    /// The first failure of a task.
+    /// The last error of a task that has not been taken.
     error: Option<RunError>,
 }
 
@@ -55,8 +55,8 @@
         let faults = link_faults(
             &run.scenario,
             start,
-            |nth| Participant::Front(nth as u16),
-            |nth| Participant::Server(nth as u16),
+            |index| Participant::Front(index as u16),
+            |index| Participant::Server(index as u16),
             Participant::Gateway,
         );
         Ok(Rc::new(RefCell::new(Relay {
@@ -67,12 +67,12 @@
         })))
     }
 
-    /// Records an event of the rig in the capture.
+    /// Records an event of the test harness in the capture.
     pub(super) fn record_event(&mut self, now: Moment, event: RigEvent) -> Result<(), RunError> {
         Ok(self.capture.write(&event.into_datagram(now))?)
     }
 
-    /// Keeps a failure for [`Relay::take_error`]; a later one replaces an earlier one.
+    /// Stores an error for [`Relay::take_error`]; it replaces an earlier one.
     pub(super) fn set_error(&mut self, error: RunError) {
         self.error = Some(error);
     }
@@ -87,7 +87,7 @@
         self.capture_datagram(&CapturedDatagram { time: now, from, to, delivered: false, bytes });
     }
 
-    /// Hands over what has arrived by now, and says when the next datagram arrives.
+    /// Delivers the datagrams that are due, and returns the arrival time of the next one.
     fn deliver_arrived(&mut self, addresses: LoopbackNetwork, clock: Clock) -> Option<Moment> {
         while let Some(Datagram { from, to, bytes }) = self.network.poll_arrival(clock.now()) {
             let time = clock.now();
@@ -98,7 +98,7 @@
                 delivered: true,
                 bytes: bytes.clone(),
             });
-            // A receiver that is not there loses it.
+            // If the receiver does not listen, the datagram is lost.
             if let Some(socket) = self.sockets.get(&Route { from: to, to: from }) {
                 let _ = socket.get_ref().send_to(&bytes, addresses.listen_address(to));
             }
@@ -135,18 +135,19 @@
     executor.spawn(deliver(relay.clone(), clock, addresses, woken)).detach();
 }
 
-/// Ends the capture after all tasks have ended, and gives the outcome of the run.
-pub(super) fn close(relay: SharedRelay, played: Result<(), RunError>) -> Result<(), RunError> {
+/// Finishes the capture after all tasks have ended. Returns `run_result`, or the error that a task left if it is
+/// `Ok`.
+pub(super) fn close(relay: SharedRelay, run_result: Result<(), RunError>) -> Result<(), RunError> {
     let relay = Rc::try_unwrap(relay).map_err(|_| RunError::RelayInUse)?.into_inner();
     relay.capture.finish()?;
-    played?;
+    run_result?;
     relay.error.map_or(Ok(()), Err)
 }
 
 /// Receives the datagrams of one route.
 struct RouteReceiver {
     route: Route,
-    /// The only address that is listened to.
+    /// The sender's address; datagrams from other addresses are ignored.
     sender: SocketAddrV4,
     socket: Rc<Async<UdpSocket>>,
 }
@@ -159,19 +160,19 @@
                 continue;
             }
             relay.borrow_mut().on_received(clock.now(), self.route, buffer[..length].to_vec());
-            // One message wakes the delivery for any number of datagrams.
+            // The channel holds one message, which is enough to wake the delivery for all datagrams.
             let _ = wake.try_send(());
         }
     }
 }
 
-/// Delivers datagrams when they arrive.
+/// Delivers datagrams at their arrival times.
 async fn deliver(relay: SharedRelay, clock: Clock, addresses: LoopbackNetwork, woken: Receiver<()>) {
     loop {
         let next_arrival = relay.borrow_mut().deliver_arrived(addresses, clock);
-        let alarm = clock.timer(next_arrival);
+        let timer = clock.timer(next_arrival);
         let arrival = async {
-            let _ = alarm.await;
+            let _ = timer.await;
         };
         let wake_up = async {
             let _ = woken.recv().await;
--- a/crates/ochrelead-scenario/src/runner/script.rs
+++ b/crates/ochrelead-scenario/src/runner/script.rs
@@ -1,4 +1,4 @@
-//! What happens to processes in a scenario, and when.
+//! The scripted actions on the processes of a scenario.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
 use crate::participant::Participant;
 use crate::rig_event::RigEvent;
 
-/// A run goes on so long after its scenario, until the last calls have their answers.
+/// The time for which a run continues after the scenario, so that the last calls get their answers.
 const TAIL: Span = Span::from_secs(4);
-/// The processes are checked at least so often.
+/// The longest time between two checks of the processes.
 const CHECK_INTERVAL: Span = Span::from_millis(200);
-/// How often it is looked whether the fronts have ended.
+/// The interval at which the runner checks whether the fronts have exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How many times that is done.
+/// The maximum number of these checks.
 const EXIT_POLLS: usize = 100;
 
-/// What is done to a process.
+/// An action on a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProcessAction {
     Kill(Participant),
@@ -32,7 +32,7 @@
     Resume(Participant),
 }
 
-/// All actions of a scenario that began at `start`, in order.
+/// Returns all actions of a scenario that starts at `start`, in order of time.
 fn process_actions(faults: &[InjectedFault], start: Moment) -> Vec<(Moment, ProcessAction)> {
     let mut actions = Vec::new();
     for fault in faults {
@@ -48,7 +48,8 @@
     actions
 }
 
-/// What a fault does to its target's process when it begins and when it ends, if anything.
+/// Returns the actions on the target's process when a fault begins and ends; `None` if the fault does not affect
+/// processes.
 fn fault_actions(kind: FaultKind, target: u16) -> Option<(ProcessAction, ProcessAction)> {
     let (front, server) = (Participant::Front(target), Participant::Server(target));
     match kind {
@@ -59,7 +60,7 @@
     }
 }
 
-/// Follows the script of a run.
+/// Executes the script of a run.
 pub(super) struct ScriptPlayer<'a> {
     pub(super) run: &'a ScenarioRun,
     pub(super) start: Moment,
@@ -69,7 +70,8 @@
 }
 
 impl ScriptPlayer<'_> {
-    /// Plays the script to its end, and stops the fronts. `on_progress` gets the milliseconds that have passed.
+    /// Executes the script to its end, and stops the fronts. Calls `on_progress` with the milliseconds since the
+    /// start.
     pub(super) async fn play(&mut self, on_progress: impl Fn(u64)) -> Result<(), RunError> {
         self.record(RigEvent::ScenarioStart(self.start))?;
         let end = self.start + self.run.scenario.duration + TAIL;
@@ -115,13 +117,14 @@
         self.relay.borrow_mut().record_event(self.clock.now(), event)
     }
 
-    /// Stops the fronts by SIGTERM, when they owe no answer any more, and waits a while for their ends.
+    /// Stops the fronts with SIGTERM, and waits for up to [`EXIT_POLLS`] checks until they have exited. The tail
+    /// after the scenario gives them time to answer the last calls first.
     async fn stop_fronts(&mut self) -> Result<(), RunError> {
         for front in self.run.fronts() {
             self.processes.signal(front, Signal::TERM)?;
         }
         for _ in 0..EXIT_POLLS {
-            if self.run.fronts().all(|front| self.processes.has_ended(front)) {
+            if self.run.fronts().all(|front| self.processes.has_exited(front)) {
                 break;
             }
             Timer::after(EXIT_POLL_INTERVAL).await;
