--- a/crates/ochrelead-scenario/tests/audit.rs
+++ b/crates/ochrelead-scenario/tests/audit.rs
@@ -1,5 +1,5 @@
-//! Each rule broken in a capture, and the violation found: rule, call attempt and moment; and captures like them in which
-//! all rules are kept.
+//! Audits of scripted captures. Each violating capture breaks one rule, and the test checks the reported rule, call
+//! attempt and time; similar captures that keep all rules must have no violation.
 
 use ochrelead_config::scenario::{self, Scenario};
 use ochrelead_core::time::Moment;
@@ -28,16 +28,16 @@
     scenario::parse("day", SCENARIO).unwrap()
 }
 
-/// A capture that is built event by event. A datagram arrives a millisecond after it left.
+/// Builds a capture event by event. Each datagram is delivered 1 ms after it is sent.
 struct Capture(Vec<(u64, CapturedDatagram)>);
 
 impl Capture {
     fn new() -> Capture {
         let capture = Capture(Vec::new());
-        capture.rig_event(0, "start 1000000000")
+        capture.harness_event(0, "start 1000000000")
     }
 
-    fn rig_event(mut self, ms: u64, text: &str) -> Capture {
+    fn harness_event(mut self, ms: u64, text: &str) -> Capture {
         self.0.push((ms, datagram(ms, Participant::Rig, Participant::Rig, false, text)));
         self
     }
@@ -48,7 +48,7 @@
         self
     }
 
-    /// A caller's call attempt reaches front 0 a millisecond later.
+    /// A caller's call attempt, which reaches front 0 after 1 ms; its deadline is 3 s later.
     fn dial(self, ms: u64) -> Capture {
         let text = format!(
             "NTFY {} norte/1@g MGCP 1.0\nX-Try: {ATTEMPT}\nX-Patience: 3000\nO: L/hd, D/1, D/0, D/0",
@@ -67,7 +67,7 @@
         self.sent(ms, FRONT, Participant::Server(server), &text)
     }
 
-    fn call_off(self, ms: u64, server: u16, id: u32) -> Capture {
+    fn cancel_invite(self, ms: u64, server: u16, id: u32) -> Capture {
         let text = format!("DLCX {id} trunk/*@s{server} MGCP 1.0\nC: {ATTEMPT}");
         self.sent(ms, FRONT, Participant::Server(server), &text)
     }
@@ -99,9 +99,9 @@
         )
     }
 
-    /// Through a capture file and back, to the verdict.
+    /// Writes the capture to a pcap file, checks that reading it returns the same datagrams, and audits them.
     fn audited(mut self) -> Verdict {
-        self = self.rig_event(30_000, "end");
+        self = self.harness_event(30_000, "end");
         self.0.sort_by_key(|(ms, _)| *ms);
         let mut file = Vec::new();
         let mut writer = CaptureWriter::new(&mut file).unwrap();
@@ -118,40 +118,45 @@
     CapturedDatagram { time, from, to, delivered, bytes: text.as_bytes().to_vec() }
 }
 
-fn set_up() -> Capture {
+fn dial_and_invite() -> Capture {
     Capture::new().dial(100).invite(110, 0, 1)
 }
 
-#[test_case(set_up().respond(200, 0, 200, 1).connect(210, 2); "stands")]
-#[test_case(set_up().respond(200, 0, 409, 1).invite(205, 1, 3).respond(300, 1, 200, 3).connect(310, 4); "sent again")]
-#[test_case(set_up().call_off(1_000, 0, 2).invite(1_210, 1, 3).call_off(3_000, 1, 4).reject(3_001, 5); "timed out, waited, given up")]
-#[test_case(set_up().hang_up(500).call_off(505, 0, 2); "hung up")]
-#[test_case(set_up().restart(150, 0, 7, "forced").invite(400, 1, 3).respond(450, 1, 200, 3).connect(460, 4); "reset and waited")]
-#[test_case(set_up().restart(105, 0, 7, "graceful").respond(200, 0, 200, 1).connect(210, 2); "sent within the grace")]
-#[test_case(set_up().respond(600, 0, 409, 1).invite(610, 0, 1).reject(650, 3); "repeated while the answer waits in the socket")]
-#[test_case(set_up().rig_event(120, "kill 10.0.1.1:2727"); "killed: what it held is not its duty")]
-#[test_case(set_up().connect(210, 2).connect(710, 2); "a repeated answer is one")]
-#[test_case(Capture::new().dial(100).rig_event(105, "kill 10.0.1.1:2727").invite(112, 0, 1).rig_event(900, "begin 10.0.1.1:2727"); "sent before the kill, seen after it")]
-#[test_case(Capture::new().rig_event(50, "kill 10.0.1.1:2727").dial(100).rig_event(900, "begin 10.0.1.1:2727"); "a dead front takes nothing")]
-fn keeps_all_rules(capture: Capture) {
+#[test_case(dial_and_invite().respond(200, 0, 200, 1).connect(210, 2); "established")]
+#[test_case(dial_and_invite().respond(200, 0, 409, 1).invite(205, 1, 3).respond(300, 1, 200, 3).connect(310, 4); "retried on another server after a rejection")]
+#[test_case(dial_and_invite().cancel_invite(1_000, 0, 2).invite(1_210, 1, 3).cancel_invite(3_000, 1, 4).reject(3_001, 5); "rejected after two timed out INVITEs and the release delay")]
+#[test_case(dial_and_invite().hang_up(500).cancel_invite(505, 0, 2); "INVITE cancelled after a hang-up")]
+#[test_case(dial_and_invite().restart(150, 0, 7, "forced").invite(400, 1, 3).respond(450, 1, 200, 3).connect(460, 4); "re-sent after a reset and the release delay")]
+#[test_case(dial_and_invite().restart(105, 0, 7, "graceful").respond(200, 0, 200, 1).connect(210, 2); "INVITE within the drain grace period")]
+#[test_case(dial_and_invite().respond(600, 0, 409, 1).invite(610, 0, 1).reject(650, 3); "INVITE retransmitted while the response is unread in the socket")]
+#[test_case(dial_and_invite().harness_event(120, "kill 10.0.1.1:2727"); "a killed front need not answer its attempts")]
+#[test_case(dial_and_invite().connect(210, 2).connect(710, 2); "a retransmitted final answer counts once")]
+#[test_case(Capture::new().dial(100).harness_event(105, "kill 10.0.1.1:2727").invite(112, 0, 1).harness_event(900, "begin 10.0.1.1:2727"); "INVITE sent before the kill is captured after it")]
+#[test_case(Capture::new().harness_event(50, "kill 10.0.1.1:2727").dial(100).harness_event(900, "begin 10.0.1.1:2727"); "a killed front accepts no attempts")]
+fn a_correct_capture_has_no_violation(capture: Capture) {
     assert_eq!(capture.audited().violations, []);
 }
 
-#[test_case(set_up(), 1, 3_101, "no final answer"; "no answer")]
-#[test_case(set_up().connect(210, 2).reject(900, 3), 1, 900, "a second final answer"; "two answers")]
-#[test_case(set_up().call_off(3_100, 0, 2).reject(3_200, 3), 1, 3_200, "after the timer limit"; "late")]
-#[test_case(set_up().hang_up(500).call_off(505, 0, 2).reject(800, 3), 1, 800, "after the caller hung up"; "answered after a hang-up")]
-#[test_case(set_up().hang_up(500).call_off(505, 0, 2).invite(900, 1, 3), 1, 900, "after the caller hung up"; "sent after a hang-up")]
-#[test_case(set_up().call_off(505, 0, 2).reject(506, 3).invite(900, 1, 4), 1, 900, "after the final answer"; "sent after the answer")]
-#[test_case(set_up().call_off(505, 0, 2).invite(620, 0, 1).reject(700, 3), 1, 620, "repeated after its end"; "repeated after the end")]
-#[test_case(set_up().respond(600, 0, 409, 1).invite(655, 0, 1).reject(700, 3), 1, 655, "repeated after its end"; "repeated after the answer")]
-#[test_case(set_up().rig_event(120, "kill 10.0.1.1:2727").rig_event(300, "begin 10.0.1.1:2727").invite(500, 1, 3), 1, 500, "has not taken"; "an INVITE of a former life")]
-#[test_case(set_up().invite(700, 1, 3).reject(800, 4), 2, 700, "while another is out"; "two at once")]
-#[test_case(Capture::new().restart(10, 0, 7, "graceful").dial(300).invite(310, 0, 1).reject(400, 2), 3, 310, "to server 0 299 ms"; "to one that drains")]
-#[test_case(Capture::new().restart(10, 0, 7, "forced").dial(900).invite(910, 0, 1).reject(950, 2), 3, 910, "to server 0 899 ms"; "to one that is gone")]
-#[test_case(set_up().call_off(500, 0, 2).invite(650, 1, 3).reject(800, 4), 5, 650, "150 ms after"; "release not awaited after a time-out")]
-#[test_case(set_up().respond(200, 0, 405, 1).invite(390, 1, 3).reject(800, 4), 5, 390, "189 ms after"; "release not awaited after a reset")]
-fn breaks_a_rule(capture: Capture, rule: usize, ms: u64, description: &str) {
+#[test_case(dial_and_invite(), 1, 3_101, "no final answer"; "no final answer by the deadline")]
+#[test_case(dial_and_invite().connect(210, 2).reject(900, 3), 1, 900, "a second final answer"; "two final answers")]
+#[test_case(dial_and_invite().cancel_invite(3_100, 0, 2).reject(3_200, 3), 1, 3_200, "after the timer limit"; "final answer after the deadline")]
+#[test_case(dial_and_invite().hang_up(500).cancel_invite(505, 0, 2).reject(800, 3), 1, 800, "after the caller hung up"; "final answer after a hang-up")]
+#[test_case(dial_and_invite().hang_up(500).cancel_invite(505, 0, 2).invite(900, 1, 3), 1, 900, "after the caller hung up"; "INVITE after a hang-up")]
+#[test_case(dial_and_invite().cancel_invite(505, 0, 2).reject(506, 3).invite(900, 1, 4), 1, 900, "after the final answer"; "INVITE after the final answer")]
+#[test_case(dial_and_invite().cancel_invite(505, 0, 2).invite(620, 0, 1).reject(700, 3), 1, 620, "repeated after its end"; "INVITE retransmitted after its cancellation")]
+#[test_case(dial_and_invite().respond(600, 0, 409, 1).invite(655, 0, 1).reject(700, 3), 1, 655, "repeated after its end"; "INVITE retransmitted after its response")]
+#[test_case(dial_and_invite().harness_event(120, "kill 10.0.1.1:2727").harness_event(300, "begin 10.0.1.1:2727").invite(500, 1, 3), 1, 500, "has not taken"; "INVITE for an attempt that was accepted before the restart")]
+#[test_case(dial_and_invite().invite(700, 1, 3).reject(800, 4), 2, 700, "while another is out"; "two outstanding INVITEs")]
+#[test_case(Capture::new().restart(10, 0, 7, "graceful").dial(300).invite(310, 0, 1).reject(400, 2), 3, 310, "to server 0 299 ms"; "INVITE to a draining server")]
+#[test_case(Capture::new().restart(10, 0, 7, "forced").dial(900).invite(910, 0, 1).reject(950, 2), 3, 910, "to server 0 899 ms"; "INVITE to a server that is gone")]
+#[test_case(dial_and_invite().cancel_invite(500, 0, 2).invite(650, 1, 3).reject(800, 4), 5, 650, "150 ms after"; "INVITE before the release delay after a cancellation")]
+#[test_case(dial_and_invite().respond(200, 0, 405, 1).invite(390, 1, 3).reject(800, 4), 5, 390, "189 ms after"; "INVITE before the release delay after an inconclusive response")]
+fn a_violation_is_reported_with_its_rule_attempt_and_time(
+    capture: Capture,
+    rule: usize,
+    ms: u64,
+    description: &str,
+) {
     let violations = capture.audited().violations;
     assert_eq!(violations.len(), 1, "{violations:?}");
     let violation = &violations[0];
@@ -160,8 +165,9 @@
     assert!(violation.description.contains(description), "{violation}");
 }
 
-/// INVITEs of many call attempts to a server that has just started; `informed`: the front knows.
-fn flood(sent: u32, informed: bool) -> Verdict {
+/// Audits INVITEs of `sent` call attempts to a server that has just started. If `informed`, the front that sends them
+/// has received the server's RSIP; otherwise only another front has.
+fn audit_flood(sent: u32, informed: bool) -> Verdict {
     let mut capture = Capture::new();
     let text = "RSIP 7 *@s0 MGCP 1.0\nRM: restart";
     capture = if informed {
@@ -181,32 +187,32 @@
     capture.audited()
 }
 
-#[test_case(10, true, false; "within the budget")]
-#[test_case(60, true, true; "beyond it")]
-#[test_case(60, false, false; "beyond it, but nobody had been told")]
-fn a_server_that_has_just_started(sent: u32, informed: bool, overloaded: bool) {
-    let verdict = flood(sent, informed);
+#[test_case(10, true, false; "within the limit")]
+#[test_case(60, true, true; "above the limit")]
+#[test_case(60, false, false; "above the limit from a front that was not notified of the start")]
+fn load_of_a_server_that_has_just_started(sent: u32, informed: bool, is_violated: bool) {
+    let verdict = audit_flood(sent, informed);
     let violations = verdict.violations.iter();
-    let found: Vec<_> =
+    let reported: Vec<_> =
         violations.map(|violation| (violation.rule.number(), violation.subject.as_str())).collect();
-    assert_eq!(found, if overloaded { vec![(4, "server 0")] } else { vec![] });
+    assert_eq!(reported, if is_violated { vec![(4, "server 0")] } else { vec![] });
     assert_eq!(verdict.coverage(Rule::SlowStart).cases, u64::from(sent));
 }
 
-#[test_case(set_up().respond(200, 0, 200, 1).connect(210, 2), 1.0; "in time")]
-#[test_case(set_up().respond(1_800, 0, 200, 1).connect(1_810, 2), 0.25; "after the target")]
-#[test_case(set_up().call_off(300, 0, 1).reject(310, 2), 0.0; "refused")]
-#[test_case(set_up().connect(210, 2).sent(900, FRONT, Participant::Gateway, &format!("DLCX 9 norte/1@g MGCP 1.0\nX-Try: {ATTEMPT}")), 0.0; "cut")]
-fn service(capture: Capture, share: f64) {
+#[test_case(dial_and_invite().respond(200, 0, 200, 1).connect(210, 2), 1.0; "established within the post-dial target")]
+#[test_case(dial_and_invite().respond(1_800, 0, 200, 1).connect(1_810, 2), 0.25; "established after the post-dial target")]
+#[test_case(dial_and_invite().cancel_invite(300, 0, 1).reject(310, 2), 0.0; "rejected")]
+#[test_case(dial_and_invite().connect(210, 2).sent(900, FRONT, Participant::Gateway, &format!("DLCX 9 norte/1@g MGCP 1.0\nX-Try: {ATTEMPT}")), 0.0; "cut by the front")]
+fn service_level_of_one_call(capture: Capture, service_level: f64) {
     let verdict = capture.audited();
-    assert_eq!((verdict.service_level.overall, verdict.service_level.offered), (share, 1));
+    assert_eq!((verdict.service_level.overall, verdict.service_level.offered), (service_level, 1));
 }
 
 #[test]
-fn the_ceiling_takes_the_highest_values_first() {
+fn the_capacity_ceiling_counts_the_calls_of_highest_value_first() {
     let time = Moment::from_micros(500_000);
     let offered: Vec<OfferedCall> =
         (0..80).map(|call| OfferedCall { time, value: if call < 20 { 3.0 } else { 1.0 } }).collect();
-    // Two servers of ten a second for two seconds: the twenty of value 3, and twenty more.
+    // Two servers carry 10 sessions/s each, 40 calls in 2 s: the 20 of value 3 and 20 of value 1.
     assert!((capacity_ceiling(&scenario(), &offered) - 80.0 / 120.0).abs() < 1e-9);
 }
--- a/crates/ochrelead-scenario/tests/rig_event.rs
+++ b/crates/ochrelead-scenario/tests/rig_event.rs
@@ -1,4 +1,4 @@
-//! The texts by which a capture records what the rig did: stored, so that they must not change.
+//! The texts of test harness events in captures. They are a stored format, so they must not change.
 
 use ochrelead_core::time::Moment;
 use ochrelead_scenario::participant::Participant;
@@ -13,25 +13,25 @@
 #[test_case(RigEvent::EndpointFileWritten { front: Participant::Front(0), draining: Some(4) }, "fleet 10.0.1.1:2727 4")]
 #[test_case(RigEvent::EndpointFileWritten { front: Participant::Front(0), draining: None }, "fleet 10.0.1.1:2727 -")]
 #[test_case(RigEvent::ScenarioEnd, "end")]
-fn written_and_read_back(event: RigEvent, text: &str) {
+fn an_event_is_written_as_its_stored_text_and_parsed_back(event: RigEvent, text: &str) {
     assert_eq!(event.to_string(), text);
     assert_eq!(text.parse(), Ok(event));
 }
 
 #[test_case(""; "empty")]
-#[test_case("ended"; "another word")]
-#[test_case("kill 10.0.9.1:2727"; "an address of no participant")]
-#[test_case("start soon"; "no moment")]
-fn refused(text: &str) {
+#[test_case("ended"; "unknown word")]
+#[test_case("kill 10.0.9.1:2727"; "address of no participant")]
+#[test_case("start soon"; "start without a time")]
+fn an_invalid_text_is_rejected(text: &str) {
     assert!(text.parse::<RigEvent>().is_err());
 }
 
 #[test]
-fn only_datagrams_of_the_rig_say_when_a_scenario_began() {
+fn the_scenario_start_is_read_only_from_datagrams_of_the_harness() {
     let start = Moment::from_micros(5_000);
-    let by_rig = RigEvent::ScenarioStart(start).into_datagram(Moment::START);
-    let mut by_caller = by_rig.clone();
-    by_caller.from = Participant::Gateway;
-    assert_eq!(scenario_start(&[by_caller.clone()]), None);
-    assert_eq!(scenario_start(&[by_caller, by_rig]), Some(start));
+    let from_harness = RigEvent::ScenarioStart(start).into_datagram(Moment::START);
+    let mut from_caller = from_harness.clone();
+    from_caller.from = Participant::Gateway;
+    assert_eq!(scenario_start(&[from_caller.clone()]), None);
+    assert_eq!(scenario_start(&[from_caller, from_harness]), Some(start));
 }
--- a/crates/ochrelead-scenario/tests/scenarios.rs
+++ b/crates/ochrelead-scenario/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! The short scenarios through real fronts on loopback: no rule is broken, and the capture alone gives the same verdict.
+//! Runs the short scenarios with real fronts on loopback. Neither the run nor a separate audit of its capture may
+//! report a violation.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,7 +7,7 @@
 use std::sync::Mutex;
 use std::thread;
 
-/// So many scenarios run at once: each is a dozen processes that mostly wait.
+/// The number of scenarios that run concurrently; each has about a dozen mostly idle processes.
 const PARALLEL_RUNS: usize = 5;
 
 fn short_scenarios() -> Vec<PathBuf> {
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn an_invalid_scenario_is_refused_with_file_line_and_reason() {
+fn an_invalid_scenario_is_rejected_with_file_line_and_reason() {
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join("wrong.textproto");
     fs::write(&file, "seed: 1\nlength_ms: 5\n").unwrap();
     let (code, printed) = run_program(&["run", file.to_str().unwrap(), "--out", "nowhere"]);
