--- a/crates/ochrelead-scenario/src/audit/call_rules/mod.rs
+++ b/crates/ochrelead-scenario/src/audit/call_rules/mod.rs
@@ -13,8 +13,8 @@
 
 use super::trace::{TraceEvent, TraceEventKind};
 use super::{Rule, Verdict};
+use crate::harness_event::HarnessEvent;
 use crate::participant::Participant;
-use crate::rig_event::RigEvent;
 use front_state::{FileDrain, FrontState};
 
 /// A datagram can wait in a front's socket buffer for this long before the front reads it, on a machine under load.
@@ -33,7 +33,7 @@
     let mut rules = CallRules { scenario, fronts: BTreeMap::new(), verdict };
     for event in trace {
         match &event.kind {
-            TraceEventKind::Rig(rig_event) => rules.on_rig_event(event.time, *rig_event),
+            TraceEventKind::Harness(harness_event) => rules.on_harness_event(event.time, *harness_event),
             TraceEventKind::Message(message) => rules.on_message(event, message),
         }
     }
@@ -70,26 +70,26 @@
         }
     }
 
-    fn on_rig_event(&mut self, time: Moment, event: RigEvent) {
+    fn on_harness_event(&mut self, time: Moment, event: HarnessEvent) {
         match event {
             // Datagrams that the front sent before it was killed can be captured after the kill event, because the
             // relay reads its sockets with a delay.
-            RigEvent::Killed(Participant::Front(front)) => {
+            HarnessEvent::Killed(Participant::Front(front)) => {
                 self.fronts.entry(front).or_default().killed = true;
             }
-            RigEvent::Restarted(Participant::Front(front)) => self.on_front_restarted(front),
-            RigEvent::Suspended(Participant::Front(front)) => {
+            HarnessEvent::Restarted(Participant::Front(front)) => self.on_front_restarted(front),
+            HarnessEvent::Suspended(Participant::Front(front)) => {
                 self.fronts.entry(front).or_default().suspended = true;
             }
-            RigEvent::Resumed(Participant::Front(front)) => {
+            HarnessEvent::Resumed(Participant::Front(front)) => {
                 let front = self.fronts.entry(front).or_default();
                 front.suspended = false;
                 front.resumed_at = Some(time);
             }
-            RigEvent::EndpointFileWritten { front: Participant::Front(front), draining } => {
+            HarnessEvent::EndpointFileWritten { front: Participant::Front(front), draining } => {
                 self.on_endpoint_file(time, front, draining);
             }
-            RigEvent::ScenarioEnd => self.on_scenario_end(time),
+            HarnessEvent::ScenarioEnd => self.on_scenario_end(time),
             _ => {}
         }
     }
--- a/crates/ochrelead-scenario/src/audit/overflow_distribution.rs
+++ b/crates/ochrelead-scenario/src/audit/overflow_distribution.rs
@@ -8,8 +8,8 @@
 use statrs::distribution::{ChiSquared, ContinuousCDF};
 
 use super::trace::{TraceEvent, TraceEventKind};
+use crate::harness_event::HarnessEvent;
 use crate::participant::Participant;
-use crate::rig_event::RigEvent;
 
 /// The first INVITEs of call attempts that went to another server than their destination, by server.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -44,7 +44,7 @@
     let mut counter = OverflowCounter::new(&churn.weights);
     for event in trace {
         match (&event.kind, event.from, event.to) {
-            (TraceEventKind::Rig(RigEvent::EndpointFileWritten { front, draining }), ..) => {
+            (TraceEventKind::Harness(HarnessEvent::EndpointFileWritten { front, draining }), ..) => {
                 counter.draining.insert(*front, *draining);
             }
             (
--- a/crates/ochrelead-scenario/src/audit/trace.rs
+++ b/crates/ochrelead-scenario/src/audit/trace.rs
@@ -5,8 +5,8 @@
 use ochrelead_mgcp::parse;
 
 use crate::capture::CapturedDatagram;
+use crate::harness_event::{HarnessEvent, scenario_start};
 use crate::participant::Participant;
-use crate::rig_event::{RigEvent, scenario_start};
 
 /// One message that was sent or delivered, or one test harness event.
 pub(super) struct TraceEvent {
@@ -21,7 +21,7 @@
 
 pub(super) enum TraceEventKind {
     Message(Message),
-    Rig(RigEvent),
+    Harness(HarnessEvent),
 }
 
 /// Reads the messages and events in the order of the capture; datagrams that can't be parsed are skipped.
@@ -39,7 +39,11 @@
         kind,
     };
     if datagram.from == Participant::Rig {
-        return RigEvent::from_datagram(datagram).map(TraceEventKind::Rig).map(event).into_iter().collect();
+        return HarnessEvent::from_datagram(datagram)
+            .map(TraceEventKind::Harness)
+            .map(event)
+            .into_iter()
+            .collect();
     }
     let messages = parse::datagram(&datagram.bytes).into_iter().flatten().flatten();
     messages.map(TraceEventKind::Message).map(event).collect()
--- a/crates/ochrelead-scenario/src/capture.rs
+++ b/crates/ochrelead-scenario/src/capture.rs
@@ -1,7 +1,7 @@
 //! Packet captures. Each datagram is recorded twice: when it is sent (time to live 64) and when it is delivered (63,
 //! one hop later). A lost datagram has only the first record.
 //!
-//! Events of the test harness are recorded as datagrams from 10.0.0.1 to itself ([`crate::rig_event`]).
+//! Events of the test harness are recorded as datagrams from 10.0.0.1 to itself ([`crate::harness_event`]).
 
 use std::fs::File;
 use std::io::{self, BufReader, BufWriter, Read, Write};
--- a/crates/ochrelead-scenario/src/detection/mod.rs
+++ b/crates/ochrelead-scenario/src/detection/mod.rs
@@ -15,7 +15,7 @@
 use thiserror::Error;
 
 use crate::capture::CapturedDatagram;
-use crate::rig_event::scenario_start;
+use crate::harness_event::scenario_start;
 
 /// The maximum error of the onset of a detected fault.
 const MAX_ONSET_ERROR: Span = Span::from_secs(3);
--- a/crates/ochrelead-scenario/src/rig_event.rs
+++ b/crates/ochrelead-scenario/src/harness_event.rs
@@ -12,7 +12,7 @@
 
 /// An action of the test harness. Its text is stored as the payload of a datagram in the capture.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RigEvent {
+pub enum HarnessEvent {
     /// The scenario starts at this moment on the capture's clock.
     ScenarioStart(Moment),
     /// A participant's process was killed.
@@ -34,21 +34,21 @@
     ScenarioEnd,
 }
 
-impl fmt::Display for RigEvent {
+impl fmt::Display for HarnessEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RigEvent::ScenarioStart(start) => write!(f, "start {}", start.micros()),
-            RigEvent::Killed(participant) => write!(f, "kill {}", participant.capture_address()),
-            RigEvent::Restarted(participant) => write!(f, "begin {}", participant.capture_address()),
-            RigEvent::Suspended(participant) => write!(f, "halt {}", participant.capture_address()),
-            RigEvent::Resumed(participant) => write!(f, "resume {}", participant.capture_address()),
-            RigEvent::EndpointFileWritten { front, draining: Some(server) } => {
+            HarnessEvent::ScenarioStart(start) => write!(f, "start {}", start.micros()),
+            HarnessEvent::Killed(participant) => write!(f, "kill {}", participant.capture_address()),
+            HarnessEvent::Restarted(participant) => write!(f, "begin {}", participant.capture_address()),
+            HarnessEvent::Suspended(participant) => write!(f, "halt {}", participant.capture_address()),
+            HarnessEvent::Resumed(participant) => write!(f, "resume {}", participant.capture_address()),
+            HarnessEvent::EndpointFileWritten { front, draining: Some(server) } => {
                 write!(f, "fleet {} {server}", front.capture_address())
             }
-            RigEvent::EndpointFileWritten { front, draining: None } => {
+            HarnessEvent::EndpointFileWritten { front, draining: None } => {
                 write!(f, "fleet {} -", front.capture_address())
             }
-            RigEvent::ScenarioEnd => write!(f, "end"),
+            HarnessEvent::ScenarioEnd => write!(f, "end"),
         }
     }
 }
@@ -58,32 +58,32 @@
 #[error(
     "not a test harness event: expected start, kill, begin, halt, resume, fleet or end with its operands"
 )]
-pub struct ParseRigEventError;
+pub struct ParseHarnessEventError;
 
-impl FromStr for RigEvent {
-    type Err = ParseRigEventError;
+impl FromStr for HarnessEvent {
+    type Err = ParseHarnessEventError;
 
-    fn from_str(text: &str) -> Result<RigEvent, ParseRigEventError> {
-        parse(text).ok_or(ParseRigEventError)
+    fn from_str(text: &str) -> Result<HarnessEvent, ParseHarnessEventError> {
+        parse(text).ok_or(ParseHarnessEventError)
     }
 }
 
-fn parse(text: &str) -> Option<RigEvent> {
+fn parse(text: &str) -> Option<HarnessEvent> {
     if text == "end" {
-        return Some(RigEvent::ScenarioEnd);
+        return Some(HarnessEvent::ScenarioEnd);
     }
     let (verb, subject) = text.split_once(' ')?;
     match verb {
-        "start" => subject.trim().parse().ok().map(Moment::from_micros).map(RigEvent::ScenarioStart),
+        "start" => subject.trim().parse().ok().map(Moment::from_micros).map(HarnessEvent::ScenarioStart),
         "fleet" => {
             let (front, draining) = subject.split_once(' ')?;
             let front = parse_participant(front)?;
-            Some(RigEvent::EndpointFileWritten { front, draining: draining.parse().ok() })
+            Some(HarnessEvent::EndpointFileWritten { front, draining: draining.parse().ok() })
         }
-        "kill" => parse_participant(subject.trim()).map(RigEvent::Killed),
-        "begin" => parse_participant(subject.trim()).map(RigEvent::Restarted),
-        "halt" => parse_participant(subject.trim()).map(RigEvent::Suspended),
-        "resume" => parse_participant(subject.trim()).map(RigEvent::Resumed),
+        "kill" => parse_participant(subject.trim()).map(HarnessEvent::Killed),
+        "begin" => parse_participant(subject.trim()).map(HarnessEvent::Restarted),
+        "halt" => parse_participant(subject.trim()).map(HarnessEvent::Suspended),
+        "resume" => parse_participant(subject.trim()).map(HarnessEvent::Resumed),
         _ => None,
     }
 }
@@ -92,9 +92,9 @@
     Participant::from_capture_address(address.parse::<SocketAddrV4>().ok()?)
 }
 
-impl RigEvent {
+impl HarnessEvent {
     /// Parses the event that a captured datagram records; `None` if the harness did not send it.
-    pub fn from_datagram(datagram: &CapturedDatagram) -> Option<RigEvent> {
+    pub fn from_datagram(datagram: &CapturedDatagram) -> Option<HarnessEvent> {
         if datagram.from != Participant::Rig {
             return None;
         }
@@ -115,8 +115,8 @@
 
 /// Returns when the scenario of a capture started, on the capture's clock; `None` if no start event is recorded.
 pub fn scenario_start(datagrams: &[CapturedDatagram]) -> Option<Moment> {
-    datagrams.iter().find_map(|datagram| match RigEvent::from_datagram(datagram) {
-        Some(RigEvent::ScenarioStart(start)) => Some(start),
+    datagrams.iter().find_map(|datagram| match HarnessEvent::from_datagram(datagram) {
+        Some(HarnessEvent::ScenarioStart(start)) => Some(start),
         _ => None,
     })
 }
--- a/crates/ochrelead-scenario/src/runner/endpoint_churn.rs
+++ b/crates/ochrelead-scenario/src/runner/endpoint_churn.rs
@@ -12,8 +12,8 @@
 
 use super::relay::SharedRelay;
 use super::{RunError, ScenarioRun};
+use crate::harness_event::HarnessEvent;
 use crate::participant::Participant;
-use crate::rig_event::RigEvent;
 
 /// The generation of the file with which each front starts.
 const FIRST_GENERATION: u64 = 1;
@@ -155,7 +155,7 @@
             let mut relay = self.relay.borrow_mut();
             if written.is_ok() && !is_invalid {
                 let draining = draining.map(|server| server as u16);
-                let event = RigEvent::EndpointFileWritten { front: file.front, draining };
+                let event = HarnessEvent::EndpointFileWritten { front: file.front, draining };
                 written = relay.record_event(self.clock.now(), event);
             }
             if let Err(error) = written {
--- a/crates/ochrelead-scenario/src/runner/relay.rs
+++ b/crates/ochrelead-scenario/src/runner/relay.rs
@@ -18,9 +18,9 @@
 
 use super::{RunError, ScenarioRun, capture_file};
 use crate::capture::{CaptureWriter, CapturedDatagram};
+use crate::harness_event::HarnessEvent;
 use crate::loopback::{LoopbackNetwork, MAX_DATAGRAM};
 use crate::participant::Participant;
-use crate::rig_event::RigEvent;
 
 /// A sender and receiver of datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -68,7 +68,7 @@
     }
 
     /// Records an event of the test harness in the capture.
-    pub(super) fn record_event(&mut self, now: Moment, event: RigEvent) -> Result<(), RunError> {
+    pub(super) fn record_event(&mut self, now: Moment, event: HarnessEvent) -> Result<(), RunError> {
         Ok(self.capture.write(&event.into_datagram(now))?)
     }
 
--- a/crates/ochrelead-scenario/src/runner/script.rs
+++ b/crates/ochrelead-scenario/src/runner/script.rs
@@ -11,8 +11,8 @@
 use super::processes::Processes;
 use super::relay::SharedRelay;
 use super::{RunError, ScenarioRun};
+use crate::harness_event::HarnessEvent;
 use crate::participant::Participant;
-use crate::rig_event::RigEvent;
 
 /// The time for which a run continues after the scenario, so that the last calls get their answers.
 const TAIL: Span = Span::from_secs(4);
@@ -73,7 +73,7 @@
     /// Executes the script to its end, and stops the fronts. Calls `on_progress` with the milliseconds since the
     /// start.
     pub(super) async fn play(&mut self, on_progress: impl Fn(u64)) -> Result<(), RunError> {
-        self.record(RigEvent::ScenarioStart(self.start))?;
+        self.record(HarnessEvent::ScenarioStart(self.start))?;
         let end = self.start + self.run.scenario.duration + TAIL;
         let mut actions = process_actions(&self.run.scenario.faults, self.start).into_iter().peekable();
         while self.clock.now() < end {
@@ -88,7 +88,7 @@
             }
             self.processes.check_running()?;
         }
-        self.record(RigEvent::ScenarioEnd)?;
+        self.record(HarnessEvent::ScenarioEnd)?;
         self.stop_fronts().await
     }
 
@@ -96,24 +96,24 @@
         match action {
             ProcessAction::Kill(participant) => {
                 self.processes.kill(participant)?;
-                self.record(RigEvent::Killed(participant))
+                self.record(HarnessEvent::Killed(participant))
             }
             ProcessAction::Restart(participant) => {
-                self.record(RigEvent::Restarted(participant))?;
+                self.record(HarnessEvent::Restarted(participant))?;
                 self.processes.start(participant, self.run.command(participant, self.start, true)?)
             }
             ProcessAction::Suspend(participant) => {
-                self.record(RigEvent::Suspended(participant))?;
+                self.record(HarnessEvent::Suspended(participant))?;
                 self.processes.signal(participant, Signal::STOP)
             }
             ProcessAction::Resume(participant) => {
                 self.processes.signal(participant, Signal::CONT)?;
-                self.record(RigEvent::Resumed(participant))
+                self.record(HarnessEvent::Resumed(participant))
             }
         }
     }
 
-    fn record(&self, event: RigEvent) -> Result<(), RunError> {
+    fn record(&self, event: HarnessEvent) -> Result<(), RunError> {
         self.relay.borrow_mut().record_event(self.clock.now(), event)
     }
 
