--- a/crates/ochrelead-scenario/src/audit/rule.rs
+++ b/crates/ochrelead-scenario/src/audit/rule.rs
@@ -38,11 +38,11 @@
     /// A short description of the rule for reports.
     pub fn description(self) -> &'static str {
         match self {
-            Rule::FinalAnswer => "one final answer, in time, and nothing after it",
-            Rule::SingleInvite => "never two INVITEs at once",
-            Rule::NoNewCallsToLeaving => "nothing new to a server that drains or is gone",
-            Rule::SlowStart => "no cold server pushed over",
-            Rule::ReleaseDelay => "the release is awaited",
+            Rule::FinalAnswer => "one final answer by the deadline, and nothing after it",
+            Rule::SingleInvite => "at most one outstanding INVITE per call attempt",
+            Rule::NoNewCallsToLeaving => "no new calls to a server that is draining or gone",
+            Rule::SlowStart => "no overload of a server that has just started",
+            Rule::ReleaseDelay => "the next INVITE waits for the release delay",
         }
     }
 }
--- a/crates/ochrelead-scenario/src/audit/service_level/mod.rs
+++ b/crates/ochrelead-scenario/src/audit/service_level/mod.rs
@@ -35,7 +35,7 @@
     pub offered: usize,
     /// The number of callers with an established call.
     pub established: usize,
-    /// The number of established calls that a front cut.
+    /// The number of established calls that were cut: ended by a front before the caller hung up, for whatever reason.
     pub cut: usize,
     /// The upper bound that the servers' true capacity allows, see [`capacity_ceiling`].
     pub ceiling: f64,
--- a/crates/ochrelead-scenario/src/report.rs
+++ b/crates/ochrelead-scenario/src/report.rs
@@ -15,7 +15,7 @@
 /// Prints the result for each rule, the drain delays and overflow if measured, and the first violations.
 pub(crate) fn print_verdict(verdict: &Verdict) {
     let ServiceLevel { offered, established, cut, .. } = &verdict.service_level;
-    println!("{offered} callers, {established} stood, {cut} of them cut; on simulated servers\n");
+    println!("{offered} callers, {established} established, {cut} of them cut; on emulated servers\n");
     for rule in Rule::ALL {
         print_rule(verdict, rule);
     }
@@ -35,9 +35,9 @@
     let violations = verdict.violations.iter().filter(|violation| violation.rule == rule).count();
     let state = if violations == 0 { "kept".to_owned() } else { format!("broken {violations} times") };
     let coverage = verdict.coverage(rule);
-    let peak = coverage.peak_usage.map_or("-".to_owned(), |share| format!("{:.0} in 100", share * 100.0));
+    let peak = coverage.peak_usage.map_or("-".to_owned(), |share| format!("{:.0} %", share * 100.0));
     let (number, description, cases) = (rule.number(), rule.description(), coverage.cases);
-    println!("rule {number}: {description}: {state}; {cases} cases, nearest {peak}");
+    println!("rule {number}: {description}: {state}; {cases} cases, highest usage of the limit {peak}");
 }
 
 fn print_drain_delays(delays: &[Span]) {
@@ -50,7 +50,7 @@
     let quantile =
         |share: f64| late_ms.get(((late_ms.len() as f64 - 1.0) * share) as usize).copied().unwrap_or(0.0);
     println!(
-        "{} drains by file, an INVITE after {} of them: median {:.1} ms, nine in ten {:.1} ms, longest {:.1} ms",
+        "{} drains by endpoint file, {} with later INVITEs: delay p50 {:.1} ms, p90 {:.1} ms, maximum {:.1} ms",
         delays.len(),
         late_ms.len(),
         quantile(0.5),
@@ -62,7 +62,7 @@
 fn print_overflow(verdict: &Verdict) {
     let overflow = &verdict.overflow;
     println!(
-        "{} drawn INVITEs; widest gap to a weight {:.2} points, likelihood {:.3} (chi-squared)",
+        "{} overflow INVITEs; largest deviation from the weights {:.2} percentage points, p-value {:.3} (chi-squared)",
         overflow.observed.iter().sum::<f64>(),
         overflow.max_deviation(),
         overflow.p_value()
@@ -86,13 +86,13 @@
         );
     }
     let ceiling = verdicts[0].1.service_level.ceiling;
-    println!("{:<12} {ceiling:>7.3}  (by the servers' true capacity alone)", "ceiling");
+    println!("{:<12} {ceiling:>7.3}  (allowed by the servers' true capacity)", "ceiling");
 }
 
 /// Prints the service level as a time series over the scenario.
 pub(crate) fn print_service_level_series(service_level: &ServiceLevel) {
     let shares: Vec<String> = service_level.by_interval.iter().map(|share| format!("{share:.2}")).collect();
-    println!("\nby five seconds: {}", shares.join(" "));
+    println!("\nservice level in 5 s intervals: {}", shares.join(" "));
     println!("service {:.3}, worst 10 s {:.3}", service_level.overall, service_level.worst_window);
 }
 
@@ -155,7 +155,7 @@
 pub(crate) fn print_load_summary(relay: &[LoadStep], front: &[LoadStep], recording: &[LoadStep]) {
     let (relay_rate, front_rate) = (f64::from(sustained_rate(relay)), f64::from(sustained_rate(front)));
     println!(
-        "\none front on one core: {:.1} times the fleet's {} a second, {:.2} of the bare relay",
+        "\none front on one core: {:.1} times the fleet's {} sessions/s, {:.2} times the rate of the plain relay",
         front_rate / f64::from(FLEET_SESSIONS_PER_S),
         FLEET_SESSIONS_PER_S,
         front_rate / relay_rate.max(1.0)
@@ -167,7 +167,7 @@
             (front_sum + front.cpu_ticks, recording_sum + recording.cpu_ticks)
         });
     let cost = recording_ticks as f64 / front_ticks.max(1) as f64;
-    println!("recording: {cost:.3} times the processor time");
+    println!("with an event log: {cost:.3} times the CPU time");
 }
 
 /// Returns the highest sustained rate; 0 if none was sustained.
