--- a/crates/ochrelead-scenario/src/audit/trace.rs
+++ b/crates/ochrelead-scenario/src/audit/trace.rs
@@ -1,30 +1,30 @@
-//! A capture as a sequence of messages and events of the rig.
+//! A capture as a sequence of MGCP messages and test harness events.
 
 use ochrelead_core::time::Moment;
 use ochrelead_mgcp::message::Message;
 use ochrelead_mgcp::parse;
 
 use crate::capture::CapturedDatagram;
+use crate::harness_event::{HarnessEvent, scenario_start};
 use crate::participant::Participant;
-use crate::rig_event::{RigEvent, scenario_start};
 
-/// One message, as it left its sender or as it reached its receiver, or one event of the rig.
+/// One message that was sent or delivered, or one test harness event.
 pub(super) struct TraceEvent {
-    /// When, counted from the scenario's start; what came before counts as at the start.
+    /// When it occurred, from the scenario's start; zero for events before the start.
     pub(super) time: Moment,
     pub(super) from: Participant,
     pub(super) to: Participant,
-    /// Whether the message reached its receiver; else it left its sender.
+    /// Whether the message was delivered to its receiver (true) or sent by its sender (false).
     pub(super) delivered: bool,
     pub(super) kind: TraceEventKind,
 }
 
 pub(super) enum TraceEventKind {
     Message(Message),
-    Rig(RigEvent),
+    Harness(HarnessEvent),
 }
 
-/// All messages and events, in the order of the capture.
+/// Reads the messages and events in the order of the capture; datagrams that can't be parsed are skipped.
 pub(super) fn read_trace(datagrams: &[CapturedDatagram]) -> Vec<TraceEvent> {
     let start = scenario_start(datagrams).unwrap_or(Moment::START);
     datagrams.iter().flat_map(|datagram| read_datagram(datagram, start)).collect()
@@ -39,7 +39,11 @@
         kind,
     };
     if datagram.from == Participant::Rig {
-        return RigEvent::from_datagram(datagram).map(TraceEventKind::Rig).map(event).into_iter().collect();
+        return HarnessEvent::from_datagram(datagram)
+            .map(TraceEventKind::Harness)
+            .map(event)
+            .into_iter()
+            .collect();
     }
     let messages = parse::datagram(&datagram.bytes).into_iter().flatten().flatten();
     messages.map(TraceEventKind::Message).map(event).collect()
--- a/crates/ochrelead-scenario/src/report.rs
+++ b/crates/ochrelead-scenario/src/report.rs
@@ -1,21 +1,21 @@
-//! What the program prints.
+//! The reports that the program prints.
 
 use std::collections::BTreeMap;
 
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_diagnosis::incident::{Incident, IncidentKind};
 use ochrelead_scenario::audit::{Rule, ServiceLevel, Verdict};
-use ochrelead_scenario::detection::{DetectionResult, DetectionTally, ScriptedTrouble};
+use ochrelead_scenario::detection::{DetectionResult, DetectionTally, ExpectedFault};
 use ochrelead_scenario::load::{FLEET_SESSIONS_PER_S, LoadStep, Subject};
 use ochrelead_scenario::policy::PolicyKind;
 
-/// No more violations are printed one by one.
+/// The maximum number of violations that are printed individually.
 const MAX_VIOLATIONS: usize = 20;
 
-/// The rules, what was examined of each, and the first violations.
+/// Prints the result for each rule, the drain delays and overflow if measured, and the first violations.
 pub(crate) fn print_verdict(verdict: &Verdict) {
     let ServiceLevel { offered, established, cut, .. } = &verdict.service_level;
-    println!("{offered} callers, {established} stood, {cut} of them cut; on simulated servers\n");
+    println!("{offered} callers, {established} established, {cut} of them cut; on emulated servers\n");
     for rule in Rule::ALL {
         print_rule(verdict, rule);
     }
@@ -35,9 +35,9 @@
     let violations = verdict.violations.iter().filter(|violation| violation.rule == rule).count();
     let state = if violations == 0 { "kept".to_owned() } else { format!("broken {violations} times") };
     let coverage = verdict.coverage(rule);
-    let peak = coverage.peak_usage.map_or("-".to_owned(), |share| format!("{:.0} in 100", share * 100.0));
+    let peak = coverage.peak_usage.map_or("-".to_owned(), |share| format!("{:.0} %", share * 100.0));
     let (number, description, cases) = (rule.number(), rule.description(), coverage.cases);
-    println!("rule {number}: {description}: {state}; {cases} cases, nearest {peak}");
+    println!("rule {number}: {description}: {state}; {cases} cases, highest usage of the limit {peak}");
 }
 
 fn print_drain_delays(delays: &[Span]) {
@@ -50,7 +50,7 @@
     let quantile =
         |share: f64| late_ms.get(((late_ms.len() as f64 - 1.0) * share) as usize).copied().unwrap_or(0.0);
     println!(
-        "{} drains by file, an INVITE after {} of them: median {:.1} ms, nine in ten {:.1} ms, longest {:.1} ms",
+        "{} drains by endpoint file, {} with later INVITEs: delay p50 {:.1} ms, p90 {:.1} ms, maximum {:.1} ms",
         delays.len(),
         late_ms.len(),
         quantile(0.5),
@@ -62,14 +62,14 @@
 fn print_overflow(verdict: &Verdict) {
     let overflow = &verdict.overflow;
     println!(
-        "{} drawn INVITEs; widest gap to a weight {:.2} points, likelihood {:.3} (chi-squared)",
+        "{} overflow INVITEs; largest deviation from the weights {:.2} percentage points, p-value {:.3} (chi-squared)",
         overflow.observed.iter().sum::<f64>(),
         overflow.max_deviation(),
         overflow.p_value()
     );
 }
 
-/// The service level of several policies, and the ceiling.
+/// Prints the service level of several policies, and the capacity ceiling.
 pub(crate) fn print_policies(verdicts: &[(PolicyKind, Verdict)]) {
     println!(
         "\n{:<12} {:>7} {:>11} {:>9} {:>8} {:>6}",
@@ -86,36 +86,36 @@
         );
     }
     let ceiling = verdicts[0].1.service_level.ceiling;
-    println!("{:<12} {ceiling:>7.3}  (by the servers' true capacity alone)", "ceiling");
+    println!("{:<12} {ceiling:>7.3}  (allowed by the servers' true capacity)", "ceiling");
 }
 
-/// The service level in the course of a scenario.
-pub(crate) fn print_service_course(service_level: &ServiceLevel) {
+/// Prints the service level as a time series over the scenario.
+pub(crate) fn print_service_level_series(service_level: &ServiceLevel) {
     let shares: Vec<String> = service_level.by_interval.iter().map(|share| format!("{share:.2}")).collect();
-    println!("\nby five seconds: {}", shares.join(" "));
+    println!("\nservice level in 5 s intervals: {}", shares.join(" "));
     println!("service {:.3}, worst 10 s {:.3}", service_level.overall, service_level.worst_window);
 }
 
-/// What was detected of one scenario.
+/// Prints the detection result of one scenario.
 pub(crate) fn print_detection(result: &DetectionResult) {
     for scripted in &result.scripted {
-        print_scripted(scripted);
+        print_expected_fault(scripted);
     }
     for trouble in &result.false_positives {
-        let (onset, end) = (seconds_at(trouble.onset), end_of(trouble));
+        let (onset, end) = (seconds_at(trouble.onset), format_end(trouble));
         println!("invented, {onset:.1} to {end}: {trouble}");
     }
 }
 
-fn print_scripted(scripted: &ScriptedTrouble) {
-    let (start, end) = (seconds(scripted.start), seconds(scripted.start + scripted.duration));
-    let result = scripted.detected.as_ref().map_or("missed".to_owned(), |trouble| {
-        format!("found {:.1} to {}", seconds_at(trouble.onset), end_of(trouble))
+fn print_expected_fault(expected: &ExpectedFault) {
+    let (start, end) = (seconds(expected.start), seconds(expected.start + expected.duration));
+    let result = expected.detected.as_ref().map_or("missed".to_owned(), |trouble| {
+        format!("found {:.1} to {}", seconds_at(trouble.onset), format_end(trouble))
     });
-    println!("{} {}: scripted {start:.1} to {end:.1}, {result}", scripted.kind.name(), scripted.subject);
+    println!("{} {}: scripted {start:.1} to {end:.1}, {result}", expected.kind.name(), expected.subject);
 }
 
-fn end_of(trouble: &Incident) -> String {
+fn format_end(trouble: &Incident) -> String {
     trouble.end.map_or("lasts".to_owned(), |end| format!("{:.1}", seconds_at(end)))
 }
 
@@ -127,7 +127,7 @@
     seconds(moment.since(Moment::START))
 }
 
-/// What was detected of many scenarios, by kind.
+/// Prints the detection results of several scenarios, by kind of fault.
 pub(crate) fn print_detection_tallies(tallies: &BTreeMap<IncidentKind, DetectionTally>) {
     println!("\n{:<38} {:>8} {:>6} {:>9} {:>9}", "kind", "scripted", "found", "invented", "onset off");
     for (kind, tally) in tallies {
@@ -137,12 +137,12 @@
     }
 }
 
-/// The head of the table of load steps.
+/// Prints the header of the table of load steps.
 pub(crate) fn print_load_header() {
     println!("{:<7} {:>11} {:>9} {:>9} {:>9}", "between", "sessions/s", "INVITEs", "p50 us", "p99 us");
 }
 
-/// The steps of one subject.
+/// Prints the load steps of one subject.
 pub(crate) fn print_load_steps(subject: Subject, steps: &[LoadStep]) {
     for step in steps {
         let invited_share = step.invited as f64 / step.offered.max(1) as f64;
@@ -151,26 +151,26 @@
     }
 }
 
-/// The front beside the relay, and the cost of the event log.
+/// Prints the throughput of the front relative to the relay, and the CPU cost of the event log.
 pub(crate) fn print_load_summary(relay: &[LoadStep], front: &[LoadStep], recording: &[LoadStep]) {
     let (relay_rate, front_rate) = (f64::from(sustained_rate(relay)), f64::from(sustained_rate(front)));
     println!(
-        "\none front on one core: {:.1} times the fleet's {} a second, {:.2} of the bare relay",
+        "\none front on one core: {:.1} times the fleet's {} sessions/s, {:.2} times the rate of the plain relay",
         front_rate / f64::from(FLEET_SESSIONS_PER_S),
         FLEET_SESSIONS_PER_S,
         front_rate / relay_rate.max(1.0)
     );
-    // Both fronts at the rates at which both were measured.
+    // Compares the CPU time only at rates at which both fronts were measured.
     let common = front.iter().zip(recording).filter(|(front, recording)| front.rate == recording.rate);
     let (front_ticks, recording_ticks) =
         common.fold((0, 0), |(front_sum, recording_sum), (front, recording)| {
             (front_sum + front.cpu_ticks, recording_sum + recording.cpu_ticks)
         });
     let cost = recording_ticks as f64 / front_ticks.max(1) as f64;
-    println!("recording: {cost:.3} times the processor time");
+    println!("with an event log: {cost:.3} times the CPU time");
 }
 
-/// The highest rate that was sustained; 0 where none was.
+/// Returns the highest sustained rate; 0 if none was sustained.
 fn sustained_rate(steps: &[LoadStep]) -> u32 {
     steps.iter().filter(|step| step.is_sustained()).map(|step| step.rate).max().unwrap_or(0)
 }
