--- a/crates/ochrelead-mgcp/benches/grammar.rs
+++ b/crates/ochrelead-mgcp/benches/grammar.rs
@@ -1,4 +1,4 @@
-//! Parse and write of the datagrams of one set-up.
+//! Benchmarks parsing and encoding of a set-up command and its response.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use ochrelead_mgcp::{parse, write};
--- a/crates/ochrelead-mgcp/src/lib.rs
+++ b/crates/ochrelead-mgcp/src/lib.rs
@@ -1,10 +1,10 @@
-//! MGCP as a call agent and its gateways speak it (RFC 3435), without sockets, clock or randomness of its own.
+//! MGCP between a call agent and its gateways (RFC 3435). The crate uses no sockets, no clock and no random numbers.
 //!
-//! - [`message`]: commands, responses, parameter lines and endpoint names, as values.
-//! - [`parse`]: from a datagram to messages. It never panics and its cost is bounded by the datagram's size.
-//! - [`mod@write`]: from messages to a datagram.
-//! - [`transaction`]: transactions over datagrams: retransmission with exponential back-off, at most one execution at
-//!   the receiver, provisional responses, acknowledged responses, and a bound on every table.
+//! - [`message`]: commands, responses, parameter lines and endpoint names.
+//! - [`parse`]: decodes a datagram into messages. It never panics, and its cost is bounded by the datagram's length.
+//! - [`mod@write`]: encodes messages as a datagram.
+//! - [`transaction`]: the transaction layer over datagrams: retransmission with exponential back-off, at-most-once
+//!   execution at the receiver, provisional responses, response acknowledgements, and a size limit on each table.
 //!
 //! ```
 //! use ochrelead_mgcp::message::{Command, Message, Verb};
--- a/crates/ochrelead-mgcp/src/message.rs
+++ b/crates/ochrelead-mgcp/src/message.rs
@@ -11,48 +11,48 @@
 pub use endpoint::{Endpoint, EndpointNameError, MAX_NAME_LENGTH};
 pub use verb::Verb;
 
-/// The id of a transaction, 1 to [`MAX_TRANSACTION_ID`] (RFC 3435 section 3.2.1.2).
+/// A transaction id, from 1 to [`MAX_TRANSACTION_ID`] (RFC 3435 section 3.2.1.2).
 pub type TransactionId = u32;
 
 /// The largest transaction id.
 pub const MAX_TRANSACTION_ID: TransactionId = 999_999_999;
 
-/// The parameter lines of a message, in their order.
+/// The parameter lines of a message, in the order of the message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Parameters(pub(crate) Vec<(String, String)>);
 
 impl Parameters {
-    /// The value of the first line of that name, in either case.
+    /// Returns the value of the first line with this name; the case of the name is ignored.
     pub fn get(&self, name: &str) -> Option<&str> {
         let mut lines = self.iter();
         lines.find(|(line_name, _)| line_name.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// The value of the first line of that name, parsed; none where it is missing or cannot be parsed.
+    /// Parses the value of the first line with this name. Returns none if it is missing or invalid.
     pub fn parse<T: FromStr>(&self, name: &str) -> Option<T> {
         self.get(name)?.parse().ok()
     }
 
-    /// All lines: name and value.
+    /// Iterates over all lines as pairs of name and value.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
-    /// Adds a line. Line breaks in it become blanks, so that a value cannot add lines of its own.
+    /// Adds a line. Line breaks in the value are replaced by spaces, so that a value cannot inject further lines.
     pub fn add(&mut self, name: &str, value: impl fmt::Display) {
         let value = value.to_string().replace(['\r', '\n'], " ");
         self.0.push((name.to_owned(), value.trim().to_owned()));
     }
 }
 
-/// A command line with its parameters (RFC 3435 section 3.2).
+/// A command: command line, parameters and session description (RFC 3435 section 3.2).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// What is to be done.
+    /// The requested operation.
     pub verb: Verb,
-    /// The transaction; the transaction layer sets it when it sends the command.
+    /// The transaction id. The transaction layer sets it when it sends the command.
     pub transaction: TransactionId,
-    /// The endpoint that the command is for or from.
+    /// The endpoint that the command addresses or that reports with it.
     pub endpoint: Endpoint,
     /// The parameter lines.
     pub parameters: Parameters,
@@ -61,26 +61,26 @@
 }
 
 impl Command {
-    /// A command without parameters.
+    /// Creates a command without parameters.
     pub fn new(verb: Verb, transaction: TransactionId, endpoint: Endpoint) -> Command {
         Command { verb, transaction, endpoint, parameters: Parameters::default(), description: None }
     }
 
-    /// The command with one more parameter line.
+    /// Adds a parameter line and returns the command.
     pub fn with(mut self, name: &str, value: impl fmt::Display) -> Command {
         self.parameters.add(name, value);
         self
     }
 }
 
-/// A response line with its parameters (RFC 3435 section 3.3).
+/// A response: response line, parameters and session description (RFC 3435 section 3.3).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Three digits; [`code`] has those that are used here.
+    /// The return code of three digits; [`code`] lists the codes in use.
     pub code: u16,
-    /// The transaction of the command.
+    /// The transaction id of the command.
     pub transaction: TransactionId,
-    /// The comment behind the return code.
+    /// The comment at the end of the response line; may be empty.
     pub comment: String,
     /// The parameter lines.
     pub parameters: Parameters,
@@ -89,7 +89,7 @@
 }
 
 impl Response {
-    /// A response without comment and parameters.
+    /// Creates a response without comment and parameters.
     pub fn new(code: u16, transaction: TransactionId) -> Response {
         Response {
             code,
@@ -100,13 +100,13 @@
         }
     }
 
-    /// The response with one more parameter line.
+    /// Adds a parameter line and returns the response.
     pub fn with(mut self, name: &str, value: impl fmt::Display) -> Response {
         self.parameters.add(name, value);
         self
     }
 
-    /// Whether a further response follows (RFC 3435 section 3.5.5).
+    /// Whether the response is provisional, so that a final one follows (RFC 3435 section 3.5.5).
     pub fn is_provisional(&self) -> bool {
         (100..200).contains(&self.code)
     }
--- a/crates/ochrelead-mgcp/src/message/endpoint.rs
+++ b/crates/ochrelead-mgcp/src/message/endpoint.rs
@@ -1,14 +1,15 @@
-//! Endpoint names.
+//! Endpoint names (RFC 3435 section 2.1.2).
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// The longest part of an endpoint name, in bytes (RFC 3435 section 2.1.2).
+/// Maximum length of the local name and of the domain, in bytes each (RFC 3435 section 2.1.2).
 pub const MAX_NAME_LENGTH: usize = 255;
 
-/// `local/name@domain`; a term of the local name may be `*` (all) or `$` (any one) (RFC 3435 section 2.1.2).
+/// An endpoint name `local/name@domain`. A term of the local name may be the wildcard `*` (all) or `$` (any one)
+/// (RFC 3435 section 2.1.2).
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Endpoint {
     local: String,
@@ -18,35 +19,35 @@
 /// Why an endpoint name is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EndpointNameError {
-    /// It has no domain.
-    #[error("no @ between local name and domain")]
+    /// The name has no `@`, and so no domain.
+    #[error("@ between local name and domain is missing")]
     NoDomain,
     /// The domain or a term of the local name is empty.
-    #[error("an empty term")]
+    #[error("domain or a term of the local name is empty")]
     EmptyTerm,
-    /// It has a blank, a control character, or one that is not ASCII.
-    #[error("a character that endpoint names may not have")]
+    /// The name contains a space, a control character, a non-ASCII character, a second `@`, or a `/` in the domain.
+    #[error("character is not allowed in an endpoint name")]
     InvalidCharacter,
     /// The local name or the domain is longer than [`MAX_NAME_LENGTH`].
-    #[error("longer than {MAX_NAME_LENGTH} characters")]
+    #[error("local name or domain is longer than {MAX_NAME_LENGTH} characters")]
     TooLong,
-    /// A term has a wildcard and something else.
-    #[error("a wildcard inside a term")]
+    /// A term combines a wildcard with other characters.
+    #[error("wildcard is not a whole term")]
     WildcardInTerm,
 }
 
 impl Endpoint {
-    /// The part before the `@`.
+    /// Returns the local name, which precedes the `@`.
     pub fn local(&self) -> &str {
         &self.local
     }
 
-    /// The part behind the `@`.
+    /// Returns the domain in lower case, which follows the `@`.
     pub fn domain(&self) -> &str {
         &self.domain
     }
 
-    /// Whether a term stands for more than one endpoint.
+    /// Whether a term of the local name is a wildcard.
     pub fn has_wildcard(&self) -> bool {
         self.local.split('/').any(|term| term == "*" || term == "$")
     }
--- a/crates/ochrelead-mgcp/src/message/parameter.rs
+++ b/crates/ochrelead-mgcp/src/message/parameter.rs
@@ -1,5 +1,5 @@
-//! The names of parameter lines that this project reads or writes (RFC 3435 section 3.2.2), and its extensions.
-//! A peer that does not know an `X-` name skips it.
+//! Names of the parameter lines in use (RFC 3435 section 3.2.2), and extension parameters of this project (`X-`).
+//! A peer ignores extension parameters that it does not know.
 
 /// CallId.
 pub const CALL_ID: &str = "C";
@@ -27,23 +27,23 @@
 pub const SPECIFIC_ENDPOINT_ID: &str = "Z";
 /// ResponseAck.
 pub const RESPONSE_ACK: &str = "K";
-/// A caller's attempt, in hexadecimal digits; its call id towards the servers.
+/// The id of a caller's attempt, in hexadecimal digits; it is also the call id of the attempt towards the servers.
 pub const ATTEMPT: &str = "X-Try";
 /// The called number.
 pub const CALLED_NUMBER: &str = "X-Called";
-/// How long the caller of this attempt waits, in milliseconds.
+/// The timer limit of the attempt in milliseconds: how long its caller waits for an answer.
 pub const TIMER_LIMIT: &str = "X-Patience";
-/// The caller says that it has tried before.
+/// Marks an attempt of a caller that has dialled before.
 pub const REDIAL: &str = "X-Redial";
-/// After how many milliseconds a rejected caller is asked to come back.
+/// The time after which a rejected caller may dial again, in milliseconds.
 pub const CALLER_RETRY_AFTER: &str = "X-Come-Back";
-/// The far end of an established call: connection id and circuit.
+/// The far end of an established call: its connection id and circuit.
 pub const FAR_END: &str = "X-Far";
-/// A server's lines: `free/all`.
+/// The lines of a server, as `free/total`.
 pub const LINE_CAPACITY: &str = "X-Lines";
-/// How long an overloaded server asks to be left alone, in milliseconds.
+/// The time for which an overloaded server asks a front to send it no set-ups, in milliseconds.
 pub const SERVER_RETRY_AFTER: &str = "X-Wait";
-/// New calls a second that a server can accept from all fronts together.
+/// The rate of new calls, per second, that a server can accept from all fronts together.
 pub const ACCEPTED_RATE: &str = "X-Can-Take";
-/// The share of new calls, 0 to 1, that a server asks each front to hold back.
+/// The share of new calls, 0 to 1, that a server asks each front not to send to it.
 pub const HOLD_BACK_SHARE: &str = "X-Hold-Back";
--- a/crates/ochrelead-mgcp/src/message/verb.rs
+++ b/crates/ochrelead-mgcp/src/message/verb.rs
@@ -1,25 +1,25 @@
-//! The verbs of commands.
+//! Command verbs (RFC 3435 section 2.3).
 
-/// The commands of RFC 3435 section 2.3.
+/// A command verb of RFC 3435 section 2.3.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verb {
-    /// EPCF: how an endpoint codes the line side.
+    /// EPCF: sets the coding of an endpoint's line side.
     EndpointConfiguration,
     /// CRCX: creates a connection between two endpoints.
     CreateConnection,
-    /// MDCX: changes a connection.
+    /// MDCX: modifies a connection.
     ModifyConnection,
-    /// DLCX: ends a connection. Either side may send it.
+    /// DLCX: deletes a connection. Either side may send it.
     DeleteConnection,
-    /// RQNT: asks for events, or for a signal such as a tone.
+    /// RQNT: requests the notification of events, or a signal such as a tone.
     NotificationRequest,
     /// NTFY: reports events.
     Notify,
-    /// AUEP: asks for the state of an endpoint.
+    /// AUEP: requests the state of an endpoint.
     AuditEndpoint,
-    /// AUCX: asks for the state of a connection.
+    /// AUCX: requests the state of a connection.
     AuditConnection,
-    /// RSIP: reports that endpoints go out of service or come back.
+    /// RSIP: reports that endpoints are taken out of service or restored.
     RestartInProgress,
 }
 
@@ -37,7 +37,7 @@
         Verb::RestartInProgress,
     ];
 
-    /// The four letters on the wire.
+    /// Returns the four-letter code on the wire.
     pub const fn code(self) -> &'static str {
         match self {
             Verb::EndpointConfiguration => "EPCF",
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The verb of four letters in either case; none where RFC 3435 has no such command.
+    /// Returns the verb with this four-letter code, ignoring case; none if RFC 3435 defines no such command.
     pub fn from_code(code: &str) -> Option<Verb> {
         Verb::ALL.into_iter().find(|verb| verb.code().eq_ignore_ascii_case(code))
     }
--- a/crates/ochrelead-mgcp/src/parse.rs
+++ b/crates/ochrelead-mgcp/src/parse.rs
@@ -10,23 +10,23 @@
 };
 use lines::Lines;
 
-/// The longest datagram that is parsed, in bytes; RFC 3435 section 3.5.4 asks for 4,000 at the least.
+/// Maximum length of a datagram in bytes; RFC 3435 section 3.5.4 requires at least 4,000.
 pub const MAX_DATAGRAM_LENGTH: usize = 16 * 1024;
-/// The most parameter lines of one message.
+/// Maximum number of parameter lines of one message.
 pub const MAX_PARAMETERS: usize = 128;
-/// The most messages of one datagram (RFC 3435 section 3.5.5, piggybacking).
+/// Maximum number of messages in one datagram (RFC 3435 section 3.5.5, piggybacking).
 pub const MAX_MESSAGES: usize = 64;
-/// The longest transaction id, in digits.
+/// Maximum length of a transaction id in digits.
 const MAX_TRANSACTION_ID_DIGITS: usize = 9;
 
 /// Why a datagram or a message could not be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
     /// The datagram has no message.
-    #[error("an empty datagram")]
+    #[error("datagram contains no message")]
     Empty,
     /// The datagram is longer than [`MAX_DATAGRAM_LENGTH`].
-    #[error("a datagram of more than {MAX_DATAGRAM_LENGTH} bytes")]
+    #[error("datagram is longer than {MAX_DATAGRAM_LENGTH} bytes")]
     TooLong,
     /// The datagram has more than [`MAX_MESSAGES`] messages.
     #[error("more than {MAX_MESSAGES} messages in one datagram")]
@@ -35,22 +35,22 @@
     #[error("more than {MAX_PARAMETERS} parameter lines")]
     TooManyParameters,
     /// A line is not UTF-8.
-    #[error("a line that is not UTF-8 text")]
+    #[error("line is not valid UTF-8")]
     NotUtf8,
     /// The first line begins with neither a verb nor a return code.
-    #[error("neither a command nor a response code")]
+    #[error("first line begins with neither a known verb nor a three-digit response code")]
     UnknownVerb,
     /// The transaction id is missing or out of range.
-    #[error("no transaction id of 1 to {MAX_TRANSACTION_ID}")]
+    #[error("transaction id is missing or not in the range 1 to {MAX_TRANSACTION_ID}")]
     InvalidTransactionId,
     /// The endpoint name of a command is invalid.
-    #[error("endpoint name: {0}")]
+    #[error("invalid endpoint name: {0}")]
     InvalidEndpointName(EndpointNameError),
-    /// The version of a command is not that of RFC 3435.
-    #[error("no MGCP 1.0 behind the endpoint name")]
+    /// The protocol version of a command is not that of RFC 3435.
+    #[error("endpoint name is not followed by MGCP 1.0")]
     UnsupportedVersion,
-    /// A parameter line has no valid name, or no colon.
-    #[error("a parameter line without a name and a colon")]
+    /// A parameter line has no valid name or no colon.
+    #[error("parameter line does not begin with a valid name and a colon")]
     InvalidParameter,
 }
 
@@ -60,17 +60,17 @@
 pub struct MessageError {
     /// The line of the datagram, counted from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// The parse error of that line.
     pub cause: ParseError,
-    /// The transaction, where it is a command whose first line is intact so far: its sender can be answered.
+    /// The transaction id, if the message is a command and its id could be parsed: an error response can be sent.
     pub transaction: Option<TransactionId>,
 }
 
-/// All messages of a datagram, each parsed or not on its own.
+/// Parses all messages of a datagram. An invalid message does not affect the other messages.
 ///
 /// # Errors
 ///
-/// The datagram as a whole is invalid: empty, too long, or with too many messages.
+/// The datagram contains no message, is too long, or contains too many messages.
 pub fn datagram(bytes: &[u8]) -> Result<Vec<Result<Message, MessageError>>, ParseError> {
     if bytes.len() > MAX_DATAGRAM_LENGTH {
         return Err(ParseError::TooLong);
@@ -104,7 +104,7 @@
     })
 }
 
-/// Parses a command line or a response line. The transaction of a command is set even if the rest is invalid.
+/// Parses a command line or a response line. Sets `transaction` for a command even if the rest of the line is invalid.
 fn parse_first_line(line: &[u8], transaction: &mut Option<TransactionId>) -> Result<Message, ParseError> {
     let line = std::str::from_utf8(line).map_err(|_| ParseError::NotUtf8)?;
     let mut words = line.split([' ', '\t']).filter(|word| !word.is_empty());
@@ -161,7 +161,7 @@
     Ok((name.to_owned(), value.trim().to_owned()))
 }
 
-/// All lines up to the next message, as they are.
+/// Returns all lines up to the next message unchanged, but for their line ends, which become CRLF.
 fn parse_description(lines: &mut Lines<'_>) -> Option<Vec<u8>> {
     let mut description = Vec::new();
     while let Some(line) = lines.next_line_of_message() {
--- a/crates/ochrelead-mgcp/src/transaction.rs
+++ b/crates/ochrelead-mgcp/src/transaction.rs
@@ -1,8 +1,9 @@
 //! Transactions over datagrams that may be lost, duplicated and delayed (RFC 3435 sections 3.5 and 4.3).
 //!
-//! The host hands in datagrams and its clock, and polls datagrams and events until there is none left. A command that
-//! was sent is retransmitted with exponential back-off until it is answered, abandoned or has timed out (`client`). A
-//! command that was received is reported once; its response is kept, and a repeat is answered from there (`server`).
+//! The layer does no I/O: the host passes in received datagrams and the current time, and polls datagrams and events
+//! until both queues are empty. A command that was sent is retransmitted with exponential back-off until it is
+//! answered, abandoned or timed out (`client`). A command that was received is reported once; its response is kept in
+//! the history, from which retransmissions of the command are answered (`server`).
 
 mod client;
 mod config;
@@ -23,24 +24,24 @@
 pub use event::{ResponseMatch, TransactionEvent};
 use server::ServerTransactions;
 
-/// The most responses that one command acknowledges.
+/// Maximum number of responses that one command acknowledges.
 const MAX_ACKNOWLEDGEMENTS: usize = 8;
 
-/// As many commands as there may be wait for a response already.
+/// The number of outstanding commands has reached [`TransactionConfig::max_outstanding`]. Holds that number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0} commands wait for an answer already")]
+#[error("limit of {0} outstanding commands reached")]
 pub struct TooManyOutstanding(pub usize);
 
-/// How much a [`TransactionLayer`] holds.
+/// Table sizes of a [`TransactionLayer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransactionLoad {
-    /// Commands that wait for a response.
+    /// Commands that were sent and wait for a response.
     pub outstanding: usize,
-    /// Commands of peers that are remembered.
+    /// Received commands in the history.
     pub history: usize,
 }
 
-/// What waits to be polled.
+/// Datagrams and events that the host has not polled yet.
 #[derive(Default)]
 struct OutputQueues {
     datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
@@ -53,7 +54,7 @@
     }
 }
 
-/// The transactions of one party with all its peers.
+/// The MGCP transactions of one call agent or gateway with all its peers.
 pub struct TransactionLayer {
     client: ClientTransactions,
     server: ServerTransactions,
@@ -61,8 +62,9 @@
 }
 
 impl TransactionLayer {
-    /// No transactions. Their ids begin behind `first_transaction`, which has to be another at each start: otherwise
-    /// responses to an earlier process of this party would be taken for those of this one.
+    /// Creates a layer without transactions. Transaction ids are assigned from `first_transaction + 1` upwards.
+    /// `first_transaction` must differ from one process start to the next; otherwise responses to commands of the
+    /// previous process would be matched to commands of this one.
     pub fn new(config: TransactionConfig, first_transaction: u32) -> TransactionLayer {
         TransactionLayer {
             client: ClientTransactions::new(config, first_transaction),
@@ -71,11 +73,11 @@
         }
     }
 
-    /// Sends a command and retransmits it until it is answered. Its transaction id is assigned here and returned.
+    /// Sends a command and retransmits it until it is answered. Assigns its transaction id and returns it.
     ///
     /// # Errors
     ///
-    /// As many commands as there may be wait for a response.
+    /// [`TransactionConfig::max_outstanding`] commands already wait for a response.
     pub fn send_command(
         &mut self,
         now: Moment,
@@ -85,11 +87,11 @@
         self.send_command_with_limit(now, to, command, u32::MAX)
     }
 
-    /// Like [`TransactionLayer::send_command`], with at most so many retransmissions.
+    /// Like [`TransactionLayer::send_command`], with at most `max_retransmissions` retransmissions.
     ///
     /// # Errors
     ///
-    /// As many commands as there may be wait for a response.
+    /// [`TransactionConfig::max_outstanding`] commands already wait for a response.
     pub fn send_command_with_limit(
         &mut self,
         now: Moment,
@@ -102,13 +104,13 @@
         Ok(transaction)
     }
 
-    /// Stops waiting for a response: the command is not retransmitted any more. A response that comes all the same is
-    /// reported as [`ResponseMatch::Late`].
+    /// Stops waiting for a response and retransmitting the command. The first response that still arrives is reported
+    /// as [`ResponseMatch::Late`].
     pub fn abandon(&mut self, now: Moment, transaction: TransactionId) {
         self.client.abandon(now, transaction);
     }
 
-    /// Responds to a command that was reported. After a provisional response a final one is still owed.
+    /// Responds to a command that was reported. A provisional response must be followed by a final one.
     pub fn respond(&mut self, to: SocketAddr, response: Response) {
         let (transaction, is_final) = (response.transaction, !response.is_provisional());
         let datagram = write::datagram(&[Message::Response(response)]);
@@ -118,7 +120,7 @@
         self.outputs.datagrams.push_back((to, datagram));
     }
 
-    /// Handles a datagram that was received.
+    /// Handles a received datagram.
     pub fn handle_datagram(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
         let messages = match parse::datagram(bytes) {
             Ok(messages) => messages,
@@ -152,7 +154,7 @@
         if response.is_provisional() {
             return self.client.on_provisional_response(now, from, transaction);
         }
-        // An empty ResponseAck asks for an acknowledgement at once (RFC 3435 section 3.5.6).
+        // An empty ResponseAck parameter requests an immediate acknowledgement (RFC 3435 section 3.5.6).
         if response.parameters.get(parameter::RESPONSE_ACK).is_some_and(str::is_empty) {
             self.outputs.push_response(from, Response::new(code::ACKNOWLEDGED, transaction));
         }
@@ -161,28 +163,28 @@
         }
     }
 
-    /// Retransmits, times out and forgets what is due.
+    /// Sends due retransmissions, times out commands, and removes expired history entries.
     pub fn process(&mut self, now: Moment) {
         self.client.process(now, &mut self.outputs);
         self.server.process(now);
     }
 
-    /// When [`TransactionLayer::process`] is due although nothing was received.
+    /// Returns when [`TransactionLayer::process`] must be called next if no datagram arrives before.
     pub fn poll_timeout(&self) -> Option<Moment> {
         self.client.poll_timeout()
     }
 
-    /// The next datagram to send, and its destination.
+    /// Takes the next datagram to send, with its destination.
     pub fn poll_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.outputs.datagrams.pop_front()
     }
 
-    /// The next event.
+    /// Takes the next event.
     pub fn poll_event(&mut self) -> Option<TransactionEvent> {
         self.outputs.events.pop_front()
     }
 
-    /// How much it holds.
+    /// Returns the current table sizes.
     pub fn load(&self) -> TransactionLoad {
         TransactionLoad { outstanding: self.client.outstanding(), history: self.server.history() }
     }
--- a/crates/ochrelead-mgcp/src/transaction/client.rs
+++ b/crates/ochrelead-mgcp/src/transaction/client.rs
@@ -1,4 +1,4 @@
-//! Commands that were sent: retransmission, time-outs, and which command a response belongs to.
+//! Client transactions: retransmits commands, times them out, and matches responses to them.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::message::{Command, MAX_TRANSACTION_ID, Message, TransactionId, parameter};
 use crate::write;
 
-/// A command that waits for its response.
+/// A command that waits for its final response.
 struct OutstandingCommand {
     to: SocketAddr,
     datagram: Vec<u8>,
@@ -24,14 +24,14 @@
     last_sent_at: Moment,
 }
 
-/// A transaction that was answered, abandoned or has timed out.
+/// A transaction that was answered, abandoned or timed out.
 struct FinishedTransaction {
     peer: SocketAddr,
-    /// It got no response yet: the first one is late, any further one a duplicate.
+    /// No response has arrived yet: the first one counts as late, any further one as a duplicate.
     is_unanswered: bool,
 }
 
-/// The transactions that this party has begun.
+/// The transactions that this side has started.
 pub(super) struct ClientTransactions {
     config: TransactionConfig,
     last_id: TransactionId,
@@ -40,7 +40,7 @@
     finished: HashMap<TransactionId, FinishedTransaction>,
     finished_order: VecDeque<(Moment, TransactionId)>,
     rto_estimators: HashMap<SocketAddr, RtoEstimator>,
-    /// Responses that the next command to a peer acknowledges (RFC 3435 section 3.2.2.19).
+    /// Per peer, the responses that the next command to it acknowledges (RFC 3435 section 3.2.2.19).
     acknowledgements: HashMap<SocketAddr, Vec<TransactionId>>,
 }
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Begins a transaction: its id, and the datagram to send.
+    /// Starts a transaction. Returns its id and the datagram to send.
     pub(super) fn begin(
         &mut self,
         now: Moment,
@@ -90,7 +90,7 @@
         Ok((transaction, datagram))
     }
 
-    /// The next id that no remembered transaction has (RFC 3435 section 3.5.1).
+    /// Returns the next id that no outstanding or finished transaction uses (RFC 3435 section 3.5.1).
     fn next_id(&mut self) -> TransactionId {
         loop {
             self.last_id = self.last_id % MAX_TRANSACTION_ID + 1;
@@ -108,7 +108,7 @@
         command
     }
 
-    /// Ends a transaction without a response.
+    /// Finishes a transaction that has no response.
     pub(super) fn abandon(&mut self, now: Moment, transaction: TransactionId) {
         if let Some(command) = self.remove_outstanding(transaction) {
             self.finish(now, transaction, FinishedTransaction { peer: command.to, is_unanswered: true });
@@ -135,7 +135,8 @@
         }
     }
 
-    /// A provisional response: the command is being executed, and retransmissions need not come at the short timeouts.
+    /// Raises the retransmission timeout to the maximum: a provisional response says that the command was received and
+    /// is being executed.
     pub(super) fn on_provisional_response(
         &mut self,
         now: Moment,
@@ -150,7 +151,7 @@
         self.retransmissions.insert((command.next_retransmission, transaction));
     }
 
-    /// A final response: the transaction that it belongs to; none where it is a duplicate.
+    /// Matches a final response to a transaction. Returns none if the response is a duplicate.
     pub(super) fn on_final_response(
         &mut self,
         now: Moment,
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Learns from the response time of a command. The number of peers is bounded like the history.
+    /// Updates the response time estimate of a peer. The number of peers with an estimate is limited to `max_history`.
     fn update_rto(&mut self, now: Moment, command: &OutstandingCommand) {
         let is_known = self.rto_estimators.contains_key(&command.to);
         if !is_known && self.rto_estimators.len() >= self.config.max_history {
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Retransmits, times out and forgets what is due.
+    /// Sends due retransmissions, times out commands, and removes expired finished transactions.
     pub(super) fn process(&mut self, now: Moment, outputs: &mut OutputQueues) {
         while let Some(&(due, transaction)) = self.retransmissions.first() {
             if due > now {
@@ -231,12 +232,12 @@
         }
     }
 
-    /// When the next retransmission or time-out is due.
+    /// Returns when the next retransmission or time-out is due.
     pub(super) fn poll_timeout(&self) -> Option<Moment> {
         self.retransmissions.first().map(|(due, _)| *due)
     }
 
-    /// How many commands wait for a response.
+    /// Returns the number of commands that wait for a response.
     pub(super) fn outstanding(&self) -> usize {
         self.outstanding.len()
     }
--- a/crates/ochrelead-mgcp/src/transaction/config.rs
+++ b/crates/ochrelead-mgcp/src/transaction/config.rs
@@ -1,25 +1,25 @@
-//! The timers and bounds of transactions.
+//! Timers and table limits of the transaction layer.
 
 use ochrelead_core::time::Span;
 
-/// The timers and bounds of a [`TransactionLayer`](super::TransactionLayer).
+/// Timers and table limits of a [`TransactionLayer`](super::TransactionLayer).
 #[derive(Clone, Copy, Debug)]
 pub struct TransactionConfig {
-    /// The first retransmission timeout; it doubles with each retransmission.
+    /// Initial retransmission timeout; it doubles with each retransmission.
     pub initial_rto: Span,
-    /// The longest retransmission timeout, and the one after a provisional response (RFC 3435 section 3.5.5,
+    /// Maximum retransmission timeout, which also applies after a provisional response (RFC 3435 section 3.5.5,
     /// LONGTRAN-TIMER).
     pub max_rto: Span,
-    /// How long a response is waited for (RFC 3435 section 4.3, T-MAX).
+    /// Time after which a command without a final response times out (RFC 3435 section 4.3, T-MAX).
     pub response_timeout: Span,
-    /// How long responses that were sent are kept for repeated commands (RFC 3435 section 3.5.1, T-HIST).
+    /// How long a sent response is kept to answer retransmissions of its command (RFC 3435 section 3.5.1, T-HIST).
     pub history_duration: Span,
-    /// The most commands that wait for a response.
+    /// Maximum number of commands that wait for a response.
     pub max_outstanding: usize,
-    /// The most responses that are kept, the most finished transactions that are remembered, and the most peers whose
-    /// response times are.
+    /// Maximum number of received commands in the history, of finished transactions that are kept, and of peers with a
+    /// response time estimate (each).
     pub max_history: usize,
-    /// Whether a repeated command that is still being executed gets a provisional response.
+    /// Whether a retransmitted command that is still being executed gets a provisional response.
     pub sends_provisional: bool,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl TransactionConfig {
-    /// How many retransmissions a command may see that waits for so long.
+    /// Returns the maximum number of retransmissions of a command that waits for a response for the time `wait`.
     pub fn max_retransmissions(&self, wait: Span) -> u32 {
         let (mut rto, mut next_at, mut count) = (self.initial_rto, self.initial_rto, 0);
         while rto < self.max_rto && next_at <= wait {
--- a/crates/ochrelead-mgcp/src/transaction/event.rs
+++ b/crates/ochrelead-mgcp/src/transaction/event.rs
@@ -1,36 +1,36 @@
-//! What the transaction layer reports to its user.
+//! Events that the transaction layer reports to its host.
 
 use std::net::SocketAddr;
 
 use crate::message::{Command, Response, TransactionId};
 use crate::parse::{MessageError, ParseError};
 
-/// Which transaction a response belongs to.
+/// The state of the transaction that a response belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseMatch {
-    /// One that waits for it.
+    /// The transaction was waiting for the response.
     Outstanding,
-    /// One that was abandoned or has timed out. Reported once.
+    /// The transaction was abandoned or timed out before. Reported for the first late response only.
     Late,
-    /// None that is remembered.
+    /// No transaction with this id and peer is known.
     Unknown,
 }
 
-/// What the transaction layer reports.
+/// An event of the transaction layer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransactionEvent {
-    /// A command was received for the first time. It has to be answered.
+    /// A command was received for the first time. The host must respond to it.
     CommandReceived {
         /// Its sender.
         from: SocketAddr,
         /// The command.
         command: Command,
     },
-    /// A command was received again while it is being executed.
+    /// A retransmission of a command arrived while the command is being executed.
     CommandRepeated {
         /// Its sender.
         from: SocketAddr,
-        /// Its transaction.
+        /// Its transaction id.
         transaction: TransactionId,
     },
     /// A final response was received.
@@ -39,35 +39,35 @@
         from: SocketAddr,
         /// The response.
         response: Response,
-        /// The transaction that it belongs to.
+        /// The state of its transaction.
         matched: ResponseMatch,
     },
-    /// A command got no response in time.
+    /// A command got no final response within the response timeout.
     TimedOut {
-        /// Where it was sent.
+        /// Its destination.
         to: SocketAddr,
-        /// Its transaction.
+        /// Its transaction id.
         transaction: TransactionId,
     },
-    /// A message could not be parsed. Its sender has got an error response if its transaction is known.
+    /// A message could not be parsed. Its sender was sent an error response if the transaction id could be parsed.
     InvalidMessage {
         /// Its sender.
         from: SocketAddr,
-        /// What is wrong with it.
+        /// The parse error.
         error: MessageError,
     },
     /// A datagram could not be parsed.
     InvalidDatagram {
         /// Its sender.
         from: SocketAddr,
-        /// What is wrong with it.
+        /// The parse error.
         error: ParseError,
     },
-    /// A command was refused: the history is full of commands that are being executed.
+    /// A command was refused because the history is full and its oldest command is still being executed.
     CommandRefused {
         /// Its sender.
         from: SocketAddr,
-        /// Its transaction.
+        /// Its transaction id.
         transaction: TransactionId,
     },
 }
--- a/crates/ochrelead-mgcp/src/transaction/rto.rs
+++ b/crates/ochrelead-mgcp/src/transaction/rto.rs
@@ -1,56 +1,60 @@
-//! The retransmission timeout towards one peer, from its response times (RFC 3435 section 4.3).
+//! Computes the retransmission timeout (RTO) for one peer from its response times (RFC 3435 section 4.3).
 
 use ochrelead_core::time::Span;
 
 use super::config::TransactionConfig;
 
-/// The weight of one response time in the estimates is one part in this many (RFC 6298 section 2).
-const SMOOTHING: u64 = 8;
-/// How many deviations above the mean a response may take before the command is retransmitted (RFC 6298 section 2).
-const DEVIATIONS: u64 = 4;
+/// A new response time enters the moving averages with a weight of 1/8 (RFC 6298 section 2).
+const SMOOTHING_DIVISOR: u64 = 8;
+/// The timeout is the mean plus this multiple of the mean deviation (RFC 6298 section 2).
+const DEVIATION_MULTIPLIER: u64 = 4;
 
-/// Estimates how long one peer takes to respond.
+/// Estimates the response time of one peer.
 ///
-/// A command that was retransmitted gives no response time, since it is not known which copy was answered.
+/// A retransmitted command gives no response time sample, since its response may answer any of the copies (Karn's
+/// algorithm).
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RtoEstimator {
-    /// None until a response time was measured.
+    /// None before the first response time sample.
     mean: Option<Span>,
     deviation: Span,
-    /// The timeout that the last retransmitted command had come to.
+    /// The backed-off timeout that the last retransmitted command had reached; none after a later sample.
     backed_off: Option<Span>,
 }
 
 impl RtoEstimator {
-    /// A command was answered without a retransmission.
+    /// Adds the response time of a command that was answered without a retransmission.
     pub(super) fn on_response(&mut self, response_time: Span) {
-        let smooth = |estimate: Span, sample: Span| estimate - estimate / SMOOTHING + sample / SMOOTHING;
+        let smooth = |estimate: Span, sample: Span| {
+            estimate - estimate / SMOOTHING_DIVISOR + sample / SMOOTHING_DIVISOR
+        };
         let (mean, deviation) = match self.mean {
             None => (response_time, response_time / 2),
             Some(mean) => {
-                // A difference of spans is zero where it would be negative: one of the two always is.
-                let distance = (response_time - mean) + (mean - response_time);
-                (smooth(mean, response_time), smooth(self.deviation, distance))
+                // Subtraction of spans saturates at zero, so the sum of both differences is the absolute difference.
+                let absolute_difference = (response_time - mean) + (mean - response_time);
+                (smooth(mean, response_time), smooth(self.deviation, absolute_difference))
             }
         };
         *self = RtoEstimator { mean: Some(mean), deviation, backed_off: None };
     }
 
-    /// A retransmitted command was answered. A response that comes as soon after a retransmission as responses usually
-    /// come answers that copy: the first one was lost, and the peer is not slow.
+    /// Keeps the backed-off timeout of a retransmitted command that was answered, unless the response came within the
+    /// estimated timeout after the last retransmission: then it answers that copy, an earlier one was lost, and the
+    /// peer is not slow.
     pub(super) fn on_response_to_retransmission(&mut self, since_retransmission: Span, rto: Span) {
-        if self.mean.is_none() || since_retransmission > self.usual_limit() {
+        if self.mean.is_none() || since_retransmission > self.estimated_timeout() {
             self.backed_off = Some(rto);
         }
     }
 
-    /// How long a response takes at most, as a rule.
-    fn usual_limit(&self) -> Span {
-        self.mean.unwrap_or_default() + self.deviation * DEVIATIONS
+    /// Returns the mean response time plus [`DEVIATION_MULTIPLIER`] mean deviations.
+    fn estimated_timeout(&self) -> Span {
+        self.mean.unwrap_or_default() + self.deviation * DEVIATION_MULTIPLIER
     }
 
-    /// The first retransmission timeout of the next command.
+    /// Returns the initial retransmission timeout of the next command.
     pub(super) fn initial_rto(&self, config: &TransactionConfig) -> Span {
-        self.backed_off.unwrap_or(self.usual_limit()).clamp(config.initial_rto, config.max_rto)
+        self.backed_off.unwrap_or(self.estimated_timeout()).clamp(config.initial_rto, config.max_rto)
     }
 }
--- a/crates/ochrelead-mgcp/src/transaction/server.rs
+++ b/crates/ochrelead-mgcp/src/transaction/server.rs
@@ -1,4 +1,4 @@
-//! Commands that were received: each is executed at most once, and repeats are answered from the history.
+//! Server transactions: each received command is executed at most once; retransmissions are answered from the history.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,23 +10,23 @@
 use super::{MAX_ACKNOWLEDGEMENTS, OutputQueues};
 use crate::message::{Command, Response, TransactionId, code, parameter};
 
-/// A bound on the ranges of a ResponseAck parameter, and on the ids of a range.
+/// Maximum number of ranges that are read from a ResponseAck parameter. A range is cut at this many ids past its first.
 const MAX_ACKNOWLEDGED_IDS: usize = MAX_ACKNOWLEDGEMENTS * 4;
 
-/// A transaction of a peer.
+/// Identifies a transaction by the peer that started it and the id that the peer assigned.
 type TransactionKey = (SocketAddr, TransactionId);
 
-/// What is known of a command that was received.
+/// The state of a received command.
 enum CommandState {
-    /// It has no final response yet.
+    /// No final response was sent yet.
     Executing,
-    /// The datagram of its response, for repeated commands.
+    /// A final response was sent. Holds its datagram, which answers retransmissions of the command.
     Responded(Vec<u8>),
-    /// Its sender has the response: a repeat that comes late gets none.
+    /// The sender has acknowledged the response: a delayed retransmission of the command is ignored.
     Acknowledged,
 }
 
-/// The transactions that peers have begun.
+/// The transactions that peers have started.
 pub(super) struct ServerTransactions {
     config: TransactionConfig,
     history: HashMap<TransactionKey, CommandState>,
@@ -38,7 +38,7 @@
         ServerTransactions { config, history: HashMap::new(), history_order: VecDeque::new() }
     }
 
-    /// A command was received.
+    /// Reports a new command, answers a retransmitted one, or refuses the command if the history is full.
     pub(super) fn on_command(
         &mut self,
         now: Moment,
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Forgets the oldest command. One that is being executed is not forgotten: it would be executed twice.
+    /// Removes the oldest command from the history. Returns false if it is still being executed: after its removal, a
+    /// retransmission would be executed a second time.
     fn evict_oldest(&mut self) -> bool {
         match self.history_order.front() {
             Some((_, key)) if !matches!(self.history.get(key), Some(CommandState::Executing)) => {
@@ -87,14 +88,14 @@
         }
     }
 
-    /// A response was sent.
+    /// Stores a final response that was sent.
     pub(super) fn on_response_sent(&mut self, to: SocketAddr, transaction: TransactionId, datagram: &[u8]) {
         if let Some(state) = self.history.get_mut(&(to, transaction)) {
             *state = CommandState::Responded(datagram.to_vec());
         }
     }
 
-    /// The value of a ResponseAck parameter, as in `6234-6236, 6240`. What is wrong in it is skipped.
+    /// Handles the value of a ResponseAck parameter, for example `6234-6236, 6240`. Invalid ranges are skipped.
     fn on_response_ack(&mut self, from: SocketAddr, ids: &str) {
         for range in ids.split(',').take(MAX_ACKNOWLEDGED_IDS) {
             let (first, last) = range.split_once('-').unwrap_or((range, range));
@@ -108,14 +109,14 @@
         }
     }
 
-    /// A peer has a response.
+    /// Drops the stored response of a command whose sender has acknowledged it.
     pub(super) fn on_acknowledged(&mut self, from: SocketAddr, transaction: TransactionId) {
         if let Some(state @ CommandState::Responded(_)) = self.history.get_mut(&(from, transaction)) {
             *state = CommandState::Acknowledged;
         }
     }
 
-    /// Forgets what is too old, also commands that were never answered.
+    /// Removes commands that are older than the history duration, including those that were never answered.
     pub(super) fn process(&mut self, now: Moment) {
         while let Some((received_at, key)) = self.history_order.front() {
             if now.since(*received_at) < self.config.history_duration {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// How many commands are remembered.
+    /// Returns the number of commands in the history.
     pub(super) fn history(&self) -> usize {
         self.history.len()
     }
--- a/crates/ochrelead-mgcp/src/write.rs
+++ b/crates/ochrelead-mgcp/src/write.rs
@@ -1,13 +1,13 @@
-//! Encoding of messages as a datagram.
+//! Encodes messages as a datagram.
 
 use std::io::Write;
 
 use crate::message::{Message, Parameters};
 
-/// About how long a message is, in bytes.
+/// Bytes reserved for each message before it is encoded.
 const TYPICAL_MESSAGE_LENGTH: usize = 160;
 
-/// Encodes the messages as one datagram; several are piggybacked (RFC 3435 section 3.5.5).
+/// Encodes the messages as one datagram. Several messages are separated by a line with a dot (RFC 3435 section 3.5.5).
 pub fn datagram(messages: &[Message]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(messages.len() * TYPICAL_MESSAGE_LENGTH);
     for (index, message) in messages.iter().enumerate() {
--- a/crates/ochrelead-mgcp/tests/grammar.rs
+++ b/crates/ochrelead-mgcp/tests/grammar.rs
@@ -1,4 +1,4 @@
-//! Parsing and writing, line by line and under random mutation.
+//! Parsing and encoding of valid, invalid and randomly mutated datagrams.
 
 use ochrelead_mgcp::message::{Command, Endpoint, EndpointNameError, Message, Response, Verb};
 use ochrelead_mgcp::parse::{ParseError, datagram};
@@ -8,27 +8,27 @@
 use rand_pcg::Pcg64Mcg;
 use test_case::test_case;
 
-#[test_case("trunk/$@s1.example", None; "any")]
-#[test_case("*@s1", None; "all")]
+#[test_case("trunk/$@s1.example", None; "any wildcard")]
+#[test_case("*@s1", None; "all wildcard")]
 #[test_case("trunk/5", Some(EndpointNameError::NoDomain); "no domain")]
 #[test_case("trunk//5@s1", Some(EndpointNameError::EmptyTerm); "empty term")]
 #[test_case("@s1", Some(EndpointNameError::EmptyTerm); "no local name")]
 #[test_case("trunk/\0@s1", Some(EndpointNameError::InvalidCharacter); "nul")]
-#[test_case("trunk/5*@s1", Some(EndpointNameError::WildcardInTerm); "half a wildcard")]
-#[test_case(&format!("{}@s1", "a".repeat(256)), Some(EndpointNameError::TooLong); "long")]
+#[test_case("trunk/5*@s1", Some(EndpointNameError::WildcardInTerm); "wildcard inside a term")]
+#[test_case(&format!("{}@s1", "a".repeat(256)), Some(EndpointNameError::TooLong); "local name too long")]
 fn endpoint_name(name: &str, error: Option<EndpointNameError>) {
     assert_eq!(name.parse::<Endpoint>().err(), error);
 }
 
 #[test_case(b"", ParseError::Empty; "zero bytes")]
-#[test_case(b"\r\n.\r\n", ParseError::Empty; "nothing but a dot")]
+#[test_case(b"\r\n.\r\n", ParseError::Empty; "separator only")]
 #[test_case(&[b'A'; 65_507], ParseError::TooLong; "64 KiB")]
 #[test_case(".\nAUEP 1 a@b MGCP 1.0\n".repeat(65).as_bytes(), ParseError::TooManyMessages; "too many messages")]
 fn invalid_datagram(bytes: &[u8], expected: ParseError) {
     assert_eq!(datagram(bytes), Err(expected));
 }
 
-#[test_case(b"AUEP 7 a\0b@c MGCP 1.0", 1, Some(7); "nul endpoint is answered")]
+#[test_case(b"AUEP 7 a\0b@c MGCP 1.0", 1, Some(7); "nul in endpoint name keeps the transaction id")]
 #[test_case(b"AUEP 7 \xff@c MGCP 1.0", 1, None; "not UTF-8")]
 #[test_case(b"AUEP 0 a@c MGCP 1.0", 1, None; "transaction zero")]
 #[test_case(b"AUEP 1000000000 a@c MGCP 1.0", 1, None; "transaction too large")]
@@ -63,10 +63,11 @@
 fn any_message() -> impl Strategy<Value = Message> {
     let local = "([a-z0-9]{1,6}|\\*|\\$)(/([a-z0-9]{1,6}|\\*|\\$)){0,2}@[a-z0-9.]{1,12}";
     let command = (0..Verb::ALL.len(), 1..1_000_000_000u32, local, any_parameters(), any_description())
-        .prop_map(|(v, t, e, p, d)| {
-            let command = Command::new(Verb::ALL[v], t, e.parse().unwrap());
-            let command = p.into_iter().fold(command, |command, (name, value)| command.with(&name, value));
-            Message::Command(Command { description: d, ..command })
+        .prop_map(|(verb, id, endpoint, parameters, description)| {
+            let command = Command::new(Verb::ALL[verb], id, endpoint.parse().unwrap());
+            let command =
+                parameters.into_iter().fold(command, |command, (name, value)| command.with(&name, value));
+            Message::Command(Command { description, ..command })
         });
     let response = (
         0..1_000u16,
@@ -75,18 +76,18 @@
         any_parameters(),
         any_description(),
     )
-        .prop_map(|(c, t, comment, p, d)| {
-            let response = Response { comment, ..Response::new(c, t) };
+        .prop_map(|(code, id, comment, parameters, description)| {
+            let response = Response { comment, ..Response::new(code, id) };
             let response =
-                p.into_iter().fold(response, |response, (name, value)| response.with(&name, value));
-            Message::Response(Response { description: d, ..response })
+                parameters.into_iter().fold(response, |response, (name, value)| response.with(&name, value));
+            Message::Response(Response { description, ..response })
         });
     prop_oneof![command, response]
 }
 
 proptest! {
     #[test]
-    fn written_messages_are_parsed_again(messages in prop::collection::vec(any_message(), 1..5)) {
+    fn encoded_messages_are_parsed_to_equal_messages(messages in prop::collection::vec(any_message(), 1..5)) {
         let parsed: Result<Vec<Message>, _> = datagram(&write::datagram(&messages)).unwrap().into_iter().collect();
         prop_assert_eq!(parsed.unwrap(), messages);
     }
@@ -110,15 +111,16 @@
                 _ => bytes.extend_from_within(position..),
             }
         }
-        // A message that is parsed at all is parsed to the same one after it was written.
+        // A message that can be parsed keeps its kind and transaction id when it is encoded and parsed again.
         for message in datagram(&bytes).into_iter().flatten().flatten() {
             let again = datagram(&write::datagram(std::slice::from_ref(&message))).unwrap();
-            assert_eq!(again[0].as_ref().ok().map(kind), Some(kind(&message)));
+            assert_eq!(again[0].as_ref().ok().map(id_and_kind), Some(id_and_kind(&message)));
         }
     }
 }
 
-fn kind(message: &Message) -> (u32, bool) {
+/// The transaction id, and whether the message is a command.
+fn id_and_kind(message: &Message) -> (u32, bool) {
     match message {
         Message::Command(command) => (command.transaction, true),
         Message::Response(response) => (response.transaction, false),
@@ -126,12 +128,12 @@
 }
 
 #[test]
-fn mutated_datagrams_do_no_harm() {
+fn mutated_datagrams_do_not_panic_and_messages_survive_re_encoding() {
     check_mutated_datagrams(100_000);
 }
 
 #[test]
 #[ignore = "ten million datagrams take a while; run with --release"]
-fn ten_million_mutated_datagrams_do_no_harm() {
+fn ten_million_mutated_datagrams_do_not_panic_and_messages_survive_re_encoding() {
     check_mutated_datagrams(10_000_000);
 }
--- a/crates/ochrelead-mgcp/tests/transaction.rs
+++ b/crates/ochrelead-mgcp/tests/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions through loss, duplication, delay and floods.
+//! Transactions with lost, duplicated and delayed datagrams, and with more commands than the tables hold.
 
 use std::net::SocketAddr;
 
@@ -60,10 +60,10 @@
     assert_eq!(transactions.load(), EMPTY);
 }
 
-#[test_case(&[200], &[ResponseMatch::Outstanding]; "a response")]
-#[test_case(&[200, 200, 200], &[ResponseMatch::Outstanding]; "a tripled response is reported once")]
+#[test_case(&[200], &[ResponseMatch::Outstanding]; "a single response")]
+#[test_case(&[200, 200, 200], &[ResponseMatch::Outstanding]; "duplicate responses are reported once")]
 #[test_case(&[100, 200], &[ResponseMatch::Outstanding]; "provisional first")]
-fn responses(codes: &[u16], expected: &[ResponseMatch]) {
+fn final_response_is_reported_once(codes: &[u16], expected: &[ResponseMatch]) {
     let mut transactions = default_layer();
     let id = transactions.send_command(at(0), peer(), command()).unwrap();
     codes.iter().for_each(|code| transactions.handle_datagram(at(10), peer(), &response_datagram(*code, id)));
@@ -108,11 +108,11 @@
     assert!(
         matches!(poll_events(&mut transactions)[..], [TransactionEvent::ResponseReceived { matched, .. }] if matched == expected)
     );
-    assert_eq!(transactions.load().outstanding, 1, "the command still waits");
+    assert_eq!(transactions.load().outstanding, 1, "the command still waits for its response");
 }
 
 #[test]
-fn command_is_reported_once_and_its_repeat_answered_from_the_history() {
+fn command_is_reported_once_and_its_retransmission_answered_from_the_history() {
     let mut transactions = default_layer();
     let bytes = write::datagram(&[Message::Command(Command { transaction: 9, ..command() })]);
     transactions.handle_datagram(at(0), peer(), &bytes);
@@ -127,7 +127,11 @@
     assert_eq!(poll_events(&mut transactions), []);
     transactions.handle_datagram(at(1_600), peer(), &response_datagram(0, 9));
     transactions.handle_datagram(at(1_700), peer(), &bytes);
-    assert_eq!(poll_datagrams(&mut transactions).len(), 0, "acknowledged: a late repeat gets no response");
+    assert_eq!(
+        poll_datagrams(&mut transactions).len(),
+        0,
+        "a retransmission after the acknowledgement gets no response"
+    );
     transactions.process(at(40_000));
     assert_eq!(transactions.load(), EMPTY, "the history expires");
 }
@@ -165,7 +169,7 @@
 }
 
 #[test]
-fn remembered_ids_are_not_used_again() {
+fn transaction_ids_wrap_around_after_the_maximum() {
     let mut transactions = TransactionLayer::new(TransactionConfig::default(), 999_999_998);
     let ids: Vec<u32> =
         (0..3).map(|_| transactions.send_command(at(0), peer(), command()).unwrap()).collect();
@@ -173,7 +177,7 @@
 }
 
 #[test]
-fn outstanding_commands_are_bounded() {
+fn command_beyond_the_outstanding_limit_is_refused() {
     let mut transactions =
         TransactionLayer::new(TransactionConfig { max_outstanding: 2, ..TransactionConfig::default() }, 0);
     assert!(
@@ -184,16 +188,16 @@
     );
 }
 
-/// When the next command is retransmitted, after responses that took so long.
-#[test_case(&[], 500; "nothing known")]
-#[test_case(&[20; 20], 500; "quick responses change nothing")]
-#[test_case(&[450; 80], 500; "all within the timeout")]
-#[test_case(&[700], 1_000; "answered after a retransmission: the timeout that it had come to")]
-#[test_case(&[1_700], 2_000; "after two")]
-#[test_case(&[20, 20, 520], 500; "soon after a retransmission, as usual: the first copy was lost")]
-#[test_case(&[20, 20, 800], 1_000; "not soon after it")]
-#[test_case(&[9_000], 4_000; "never above the maximum")]
-#[test_case(&[700, 20], 500; "a quick response after a slow one")]
+/// The retransmission timeout of the next command in milliseconds, after these response times.
+#[test_case(&[], 500; "no response time known")]
+#[test_case(&[20; 20], 500; "fast responses keep the initial timeout")]
+#[test_case(&[450; 80], 500; "responses just within the timeout")]
+#[test_case(&[700], 1_000; "response after one retransmission keeps the backed-off timeout")]
+#[test_case(&[1_700], 2_000; "response after two retransmissions")]
+#[test_case(&[20, 20, 520], 500; "response soon after a retransmission: first copy lost")]
+#[test_case(&[20, 20, 800], 1_000; "response late after a retransmission: peer slow")]
+#[test_case(&[9_000], 4_000; "limited to the maximum timeout")]
+#[test_case(&[700, 20], 500; "fast response after a slow one resets the timeout")]
 fn initial_timeout_follows_the_response_times_of_a_peer(response_times: &[u64], rto: u64) {
     let mut transactions = default_layer();
     let mut now = 0;
@@ -208,7 +212,7 @@
 }
 
 #[test]
-fn slow_peer_sees_one_retransmission_only() {
+fn slow_peer_gets_a_retransmission_of_the_first_command_only() {
     let mut transactions = default_layer();
     let mut now = 0;
     let mut retransmissions = 0;
@@ -219,11 +223,11 @@
         transactions.handle_datagram(at(now), peer(), &response_datagram(200, id));
         retransmissions += poll_datagrams(&mut transactions).len() - 1;
     }
-    assert_eq!(retransmissions, 1, "of the first alone");
+    assert_eq!(retransmissions, 1, "only the first command is retransmitted");
 }
 
 #[test]
-fn limit_of_retransmissions_holds_until_the_timeout() {
+fn command_is_retransmitted_up_to_its_limit_and_then_times_out() {
     let mut transactions = TransactionLayer::new(
         TransactionConfig { response_timeout: Span::from_secs(10), ..TransactionConfig::default() },
         5,
@@ -244,7 +248,7 @@
 }
 
 #[test]
-fn number_of_peers_with_known_response_times_is_bounded() {
+fn number_of_peers_with_response_time_estimates_is_bounded() {
     let mut transactions =
         TransactionLayer::new(TransactionConfig { max_history: 1, ..TransactionConfig::default() }, 0);
     let peers: [SocketAddr; 2] = [peer(), "127.0.0.1:2428".parse().unwrap()];
