--- a/crates/ochrelead-emulator/src/callers.rs
+++ b/crates/ochrelead-emulator/src/callers.rs
@@ -1,4 +1,5 @@
-//! All callers of a scenario behind one gateway: they dial, wait, talk, hang up, and dial again.
+//! All callers of a scenario behind one gateway. A caller dials, waits for an answer, holds the call and hangs up; it
+//! redials if an attempt fails.
 
 mod arrivals;
 mod caller;
@@ -17,22 +18,22 @@
 use arrivals::Arrivals;
 use caller::{Action, Caller, CallerState, caller_id};
 
-/// The subscriber digits of the number that a flood of calls goes to.
+/// The subscriber digits of the number that a hot number fault directs calls to.
 pub const HOT_SUBSCRIBER: &str = "999999";
 
-/// How long an impatient caller waits before it dials again.
-const IMPATIENT_REDIAL_DELAY: Span = Span::from_millis(20);
-/// The redial delay doubles at most so often.
+/// Redial delay of a caller that redials aggressively.
+const AGGRESSIVE_REDIAL_DELAY: Span = Span::from_millis(20);
+/// Maximum number of times that the redial delay of a caller doubles.
 const MAX_REDIAL_DOUBLINGS: u32 = 6;
-/// The smallest random factor of a redial delay; the largest is greater by one.
-const MIN_REDIAL_SPREAD: f64 = 0.5;
+/// Lower limit of the random factor of a redial delay. The factor is drawn from this value up to this value plus one.
+const MIN_REDIAL_JITTER: f64 = 0.5;
 
-/// The gateway event of a caller that dials: off hook, with the digits behind it.
+/// The gateway event of a caller that dials (off hook); the dialled digits follow.
 const OFF_HOOK: &str = "L/hd";
-/// The gateway event of a caller that hangs up.
+/// The gateway event of a caller that hangs up (on hook).
 const ON_HOOK: &str = "L/hu";
 
-/// The engine of all callers.
+/// State and schedule of all callers.
 pub struct Callers {
     scenario: Scenario,
     fronts: Vec<SocketAddr>,
@@ -48,11 +49,11 @@
 }
 
 impl Callers {
-    /// The callers of a scenario that begins at `start`, at fronts with these addresses.
+    /// Creates the callers of a scenario that begins at `start`. `fronts` are the addresses of the fronts.
     ///
     /// # Panics
     ///
-    /// The shares of the services are invalid; those of a scenario that was checked are valid.
+    /// Panics if the service shares are invalid, which the validation of scenarios excludes.
     pub fn new(scenario: Scenario, fronts: Vec<SocketAddr>, start: Moment, now: Moment) -> Callers {
         Callers {
             transactions: TransactionLayer::new(scenario.front.transactions, first_transaction(now)),
@@ -69,13 +70,13 @@
         }
     }
 
-    /// Whether the caller of that attempt is connected by it.
+    /// Whether a caller is connected by the attempt with this id.
     pub fn is_connected(&self, attempt: &str) -> bool {
         let caller = self.caller_of_attempt(caller_id(attempt), attempt);
         caller.is_some_and(|caller| matches!(caller.state, CallerState::Connected { .. }))
     }
 
-    /// The caller with that id, if that is its present attempt.
+    /// Returns the caller with this id if `attempt` is its current attempt.
     fn caller_of_attempt(&self, id: u32, attempt: &str) -> Option<&Caller> {
         self.callers.get(&id).filter(|caller| caller.attempt_id(id) == attempt)
     }
@@ -89,9 +90,9 @@
         self.schedule(id, now, Action::Dial);
     }
 
-    // ---- What callers do ----
+    // ---- Actions of callers ----
 
-    fn act(&mut self, id: u32, action: Action) {
+    fn perform(&mut self, id: u32, action: Action) {
         let Some(caller) = self.callers.get(&id) else { return };
         match (action, caller.state.clone()) {
             (Action::Dial, CallerState::Idle) => self.dial(id),
@@ -105,14 +106,14 @@
         let Some(caller) = self.callers.get_mut(&id) else { return };
         caller.attempts += 1;
         caller.state = CallerState::Waiting;
-        let patience = caller.patience.min(caller.deadline().since(self.now));
+        let answer_timeout = caller.answer_timeout.min(caller.deadline().since(self.now));
         let digits: Vec<String> = caller.digits.chars().map(|digit| format!("D/{digit}")).collect();
         let events = format!("{OFF_HOOK}, {}", digits.join(", "));
-        let patience_ms = (patience.micros() / 1_000).to_string();
-        self.schedule(id, self.now + patience, Action::GiveUp);
+        let answer_timeout_ms = (answer_timeout.micros() / 1_000).to_string();
+        self.schedule(id, self.now + answer_timeout, Action::GiveUp);
         let parameters = [
             (parameter::CONNECTION_ID, format!("h{id}")),
-            (parameter::TIMER_LIMIT, patience_ms),
+            (parameter::TIMER_LIMIT, answer_timeout_ms),
             (parameter::OBSERVED_EVENTS, events),
         ];
         self.notify(id, &parameters);
@@ -131,17 +132,18 @@
         self.remove(id);
     }
 
-    /// An attempt has failed: another one is scheduled, unless the caller leaves.
+    /// Schedules the next attempt after a failed one. Removes the caller if it has used up its redials or if its
+    /// deadline has passed before the next attempt.
     fn redial(&mut self, id: u32, retry_after: Option<Span>) {
         let complies = self.rng.random::<f64>() < self.scenario.callers.retry_after_compliance;
-        let spread = MIN_REDIAL_SPREAD + self.rng.random::<f64>();
+        let jitter = MIN_REDIAL_JITTER + self.rng.random::<f64>();
         let Some(caller) = self.callers.get(&id) else { return };
         let delay = match retry_after.filter(|_| complies) {
             Some(retry_after) => retry_after,
-            None if caller.is_impatient => IMPATIENT_REDIAL_DELAY,
+            None if caller.redials_aggressively => AGGRESSIVE_REDIAL_DELAY,
             None => {
                 let back_off = 1u32 << (caller.attempts - 1).min(MAX_REDIAL_DOUBLINGS);
-                self.scenario.callers.redial_delay.scaled(spread * f64::from(back_off))
+                self.scenario.callers.redial_delay.scaled(jitter * f64::from(back_off))
             }
         };
         let redial_at = self.now + delay;
@@ -152,20 +154,20 @@
         }
     }
 
-    /// Reports events of a caller's line to its front.
+    /// Sends an NTFY for a caller's line to its front.
     fn notify(&mut self, id: u32, parameters: &[(&str, String)]) {
         let Some(caller) = self.callers.get(&id) else { return };
         let command = Command::new(Verb::Notify, 0, caller.line.clone())
             .with(parameter::REQUEST_IDENTIFIER, 0)
             .with(parameter::ATTEMPT, caller.attempt_id(id));
         let command = parameters.iter().fold(command, |command, (name, value)| command.with(name, value));
-        // A gateway with too many outstanding commands loses the event, as a busy one would.
+        // A gateway with too many outstanding commands drops the event, like a real overloaded gateway.
         let _ = self.transactions.send_command(self.now, self.fronts[caller.front], command);
     }
 
-    // ---- What a front asks of a line ----
+    // ---- Commands of fronts ----
 
-    /// Handles a command of a front: the call is connected, rejected with a tone, or ended.
+    /// Handles a command of a front: MDCX connects the call, RQNT rejects it with a tone, DLCX ends it.
     fn handle_command(&mut self, from: SocketAddr, command: &Command) {
         let attempt = command.parameters.get(parameter::ATTEMPT).unwrap_or("");
         let id = caller_id(attempt);
@@ -183,7 +185,7 @@
                 self.remove(id);
                 true
             }
-            // The line knows no such call.
+            // The line has no call in a state that permits this command.
             _ => false,
         };
         let code = if is_accepted { code::DONE } else { code::UNKNOWN_CONNECTION };
@@ -204,7 +206,7 @@
         self.redial(id, retry_after_ms.map(|ms| Span::from_millis(u64::from(ms))));
     }
 
-    // ---- The table of callers ----
+    // ---- Caller table ----
 
     fn set_state(&mut self, id: u32, state: CallerState) {
         if let Some(caller) = self.callers.get_mut(&id) {
@@ -212,11 +214,11 @@
         }
     }
 
-    /// Schedules the next action of a caller, in place of the one that was scheduled.
+    /// Schedules the next action of a caller and cancels the one that was scheduled before.
     fn schedule(&mut self, id: u32, due: Moment, action: Action) {
         let Some(caller) = self.callers.get_mut(&id) else { return };
-        if let Some((former_due, former_action)) = caller.next_action.replace((due, action)) {
-            self.scheduled.remove(&(former_due, id, former_action));
+        if let Some((previous_due, previous_action)) = caller.next_action.replace((due, action)) {
+            self.scheduled.remove(&(previous_due, id, previous_action));
         }
         self.scheduled.insert((due, id, action));
     }
@@ -227,7 +229,7 @@
         }
     }
 
-    /// The next caller whose action is due.
+    /// Takes the next action that is due, with the id of its caller.
     fn next_due(&mut self, now: Moment) -> Option<(u32, Action)> {
         let (_, id, action) = *self.scheduled.first().filter(|(due, _, _)| *due <= now)?;
         self.scheduled.pop_first();
@@ -255,7 +257,7 @@
             self.on_arrival(arrival);
         }
         while let Some((id, action)) = self.next_due(now) {
-            self.act(id, action);
+            self.perform(id, action);
         }
         self.transactions.process(now);
         while let Some(datagram) = self.transactions.poll_datagram() {
--- a/crates/ochrelead-emulator/src/callers/arrivals.rs
+++ b/crates/ochrelead-emulator/src/callers/arrivals.rs
@@ -1,4 +1,4 @@
-//! New callers: when they come, and what they want.
+//! Random arrivals of callers: arrival times, and the properties of each caller.
 
 use ochrelead_config::faults::{FaultKind, InjectedFault};
 use ochrelead_config::scenario::Scenario;
@@ -11,15 +11,15 @@
 use super::HOT_SUBSCRIBER;
 use super::caller::{Caller, CallerState};
 
-/// An impatient caller waits for this share of what others do.
-const IMPATIENT_PATIENCE: f64 = 0.15;
-/// How often an impatient caller dials again.
-const IMPATIENT_REDIALS: u32 = 6;
-/// Subscriber numbers are drawn below the hot one.
-const SUBSCRIBERS: u32 = 999_999;
-/// A surge reduces the rate of arrivals at most by this factor.
-const MIN_SURGE: f64 = 0.01;
-/// The mean of the drawn hold times is at least so long.
+/// During a redials fault, the affected callers give up after this share of the usual answer timeout.
+const EARLY_GIVE_UP_SHARE: f64 = 0.15;
+/// Maximum number of redials of a caller that redials aggressively.
+const AGGRESSIVE_MAX_REDIALS: u32 = 6;
+/// Subscriber numbers are drawn from 0 up to this value (exclusive), which is the hot number.
+const SUBSCRIBER_COUNT: u32 = 999_999;
+/// Lower limit of the factor by which a surge multiplies the arrival rate.
+const MIN_SURGE_FACTOR: f64 = 0.01;
+/// Lower limit of the mean hold time.
 const MIN_MEAN_HOLD_TIME: Span = Span::from_millis(100);
 
 /// Draws the arrivals of a scenario.
@@ -30,16 +30,16 @@
     tenants: Option<WeightedIndex<f64>>,
 }
 
-/// What is drawn for a caller.
+/// The random values of one caller.
 struct Draws {
     service: usize,
     tenant: Option<usize>,
     server: usize,
     front: usize,
     subscriber: u32,
-    /// Decides whether the caller dials the hot number.
+    /// Uniform sample that decides whether the caller dials the hot number.
     hot_sample: f64,
-    /// Decides how long the call is held.
+    /// Uniform sample from which the hold time is computed.
     hold_sample: f64,
 }
 
@@ -49,22 +49,22 @@
         Arrivals {
             scenario_start,
             fronts,
-            services: services.expect("the shares of a scenario were checked"),
+            services: services.expect("the service shares of a scenario are validated"),
             tenants: WeightedIndex::new(&scenario.callers.tenant_shares).ok(),
         }
     }
 
-    /// When the next caller comes after one at `now`; none behind the end of the scenario.
+    /// Draws the time of the next arrival after one at `now`. Returns none after the end of the scenario.
     pub(super) fn draw_next(&self, scenario: &Scenario, now: Moment, rng: &mut Pcg64Mcg) -> Option<Moment> {
-        let surge = self.fault(scenario, FaultKind::Surge, now);
-        let surge = surge.map_or(1.0, |fault| fault.magnitude.max(MIN_SURGE));
-        let rate = scenario.callers.sessions_per_s * surge;
-        let gap_s = Exp::new(rate).expect("the rate of a scenario is above zero").sample(rng);
+        let surge = self.active_fault(scenario, FaultKind::Surge, now);
+        let surge_factor = surge.map_or(1.0, |fault| fault.magnitude.max(MIN_SURGE_FACTOR));
+        let rate = scenario.callers.sessions_per_s * surge_factor;
+        let gap_s = Exp::new(rate).expect("the arrival rate of a scenario is positive").sample(rng);
         let next = now + Span::from_secs(1).scaled(gap_s);
         Some(next).filter(|next| next.since(self.scenario_start) < scenario.duration)
     }
 
-    /// The caller with this id, which comes now.
+    /// Draws the caller with this id, which arrives at `now`.
     pub(super) fn draw_caller(
         &self,
         scenario: &Scenario,
@@ -74,51 +74,60 @@
     ) -> Caller {
         let draws = self.draw(scenario, rng);
         let is_hot = self
-            .fault(scenario, FaultKind::HotNumber, now)
+            .active_fault(scenario, FaultKind::HotNumber, now)
             .is_some_and(|fault| draws.hot_sample < fault.magnitude);
-        let has_short_patience = self.has_short_patience(scenario, draws.tenant, now);
-        let is_impatient = has_short_patience || is_hot;
+        let gives_up_early = self.gives_up_early(scenario, draws.tenant, now);
+        let redials_aggressively = gives_up_early || is_hot;
         let timer_limit = scenario.front.timer_limits[draws.service];
-        let patience_share = if has_short_patience { IMPATIENT_PATIENCE } else { 1.0 };
+        let answer_timeout_share = if gives_up_early { EARLY_GIVE_UP_SHARE } else { 1.0 };
         let trunk = draws.tenant.map_or("line", |tenant| scenario.front.trunks[tenant].as_str());
         Caller {
             front: draws.front,
             line: format!("{trunk}/{caller_id}@callers").parse().expect("a valid endpoint name"),
             digits: dialled_digits(scenario, &draws, is_hot),
-            is_impatient,
+            redials_aggressively,
             first_attempt_at: now,
             attempts: 0,
-            max_redials: if is_impatient { IMPATIENT_REDIALS } else { scenario.callers.max_redials },
+            max_redials: if redials_aggressively {
+                AGGRESSIVE_MAX_REDIALS
+            } else {
+                scenario.callers.max_redials
+            },
             timer_limit,
-            patience: timer_limit.scaled(scenario.callers.patience * patience_share),
+            answer_timeout: timer_limit.scaled(scenario.callers.patience * answer_timeout_share),
             hold_time: hold_time(scenario, &draws),
             state: CallerState::Idle,
             next_action: None,
         }
     }
 
-    /// The order of the draws is part of what a seed means.
+    /// Draws the random values of a caller. The order of the draws must not change: a seed would give another scenario.
     fn draw(&self, scenario: &Scenario, rng: &mut Pcg64Mcg) -> Draws {
         Draws {
             service: self.services.sample(rng),
             tenant: self.tenants.as_ref().map(|tenants| tenants.sample(rng)),
             server: rng.random_range(0..scenario.servers.len()),
             front: rng.random_range(0..self.fronts),
-            subscriber: rng.random_range(0..SUBSCRIBERS),
+            subscriber: rng.random_range(0..SUBSCRIBER_COUNT),
             hot_sample: rng.random(),
             hold_sample: rng.random(),
         }
     }
 
-    fn has_short_patience(&self, scenario: &Scenario, tenant: Option<usize>, now: Moment) -> bool {
-        self.fault(scenario, FaultKind::Redials, now).is_some_and(|fault| match tenant {
+    fn gives_up_early(&self, scenario: &Scenario, tenant: Option<usize>, now: Moment) -> bool {
+        self.active_fault(scenario, FaultKind::Redials, now).is_some_and(|fault| match tenant {
             Some(tenant) => fault.targets.contains(&tenant),
             None => fault.targets.is_empty(),
         })
     }
 
-    /// The fault of that kind that is active now.
-    fn fault<'a>(&self, scenario: &'a Scenario, kind: FaultKind, now: Moment) -> Option<&'a InjectedFault> {
+    /// Returns the first fault of this kind that is active at `now`.
+    fn active_fault<'a>(
+        &self,
+        scenario: &'a Scenario,
+        kind: FaultKind,
+        now: Moment,
+    ) -> Option<&'a InjectedFault> {
         let elapsed = now.since(self.scenario_start);
         let is_active =
             |fault: &&InjectedFault| fault.start <= elapsed && elapsed < fault.start + fault.duration;
@@ -134,7 +143,7 @@
     format!("{service}{:02}{:06}", draws.server, draws.subscriber)
 }
 
-/// Hold times are distributed exponentially.
+/// Computes an exponentially distributed hold time by inversion of the uniform sample.
 fn hold_time(scenario: &Scenario, draws: &Draws) -> Span {
     let service = &scenario.front.controller.services[draws.service];
     service.mean_hold_time.max(MIN_MEAN_HOLD_TIME).scaled(-(1.0 - draws.hold_sample).ln())
--- a/crates/ochrelead-emulator/src/callers/caller.rs
+++ b/crates/ochrelead-emulator/src/callers/caller.rs
@@ -1,12 +1,12 @@
-//! One caller, and the ids of its attempts.
+//! The state of one caller, and the encoding of its attempt ids.
 
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_mgcp::message::Endpoint;
 
-/// How many digits of an attempt's id name the caller; the others count its attempts.
+/// Number of leading digits of an attempt id that hold the caller id; the remaining digits count its attempts.
 const CALLER_ID_DIGITS: usize = 8;
 
-/// What a caller does next.
+/// A scheduled action of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Action {
     Dial,
@@ -18,48 +18,48 @@
 pub(super) enum CallerState {
     /// On hook, between two attempts.
     Idle,
-    /// It has dialled and waits for an answer.
+    /// The caller has dialled and waits for an answer.
     Waiting,
-    /// It talks. The far end is as the front has named it.
+    /// The call is established. Holds the far end as named by the front.
     Connected { far_end: String },
 }
 
 pub(super) struct Caller {
-    /// The index of its front.
+    /// The index of the front that serves the caller.
     pub(super) front: usize,
-    /// Its line at the gateway.
+    /// The endpoint of the caller's line at the gateway.
     pub(super) line: Endpoint,
-    /// What it dials.
+    /// The dialled digits.
     pub(super) digits: String,
-    /// It redials at once, and more often than others.
-    pub(super) is_impatient: bool,
+    /// The caller redials after a short fixed delay, and more often than others.
+    pub(super) redials_aggressively: bool,
     pub(super) first_attempt_at: Moment,
     pub(super) attempts: u32,
     pub(super) max_redials: u32,
-    /// How long after its first attempt it wants to be connected.
+    /// The time from the first attempt to the caller's deadline.
     pub(super) timer_limit: Span,
-    /// How long it waits in one attempt.
-    pub(super) patience: Span,
+    /// How long the caller waits for an answer in one attempt.
+    pub(super) answer_timeout: Span,
     pub(super) hold_time: Span,
     pub(super) state: CallerState,
-    /// The one action that is scheduled for it.
+    /// The scheduled action of the caller; there is at most one.
     pub(super) next_action: Option<(Moment, Action)>,
 }
 
 impl Caller {
-    /// The id of the present attempt of the caller with this id: eight hexadecimal digits for the caller, two for the
-    /// attempt.
+    /// Returns the id of the current attempt: eight hexadecimal digits for the caller id, then at least two for the
+    /// number of the attempt.
     pub(super) fn attempt_id(&self, caller_id: u32) -> String {
         format!("{caller_id:08X}{:02X}", self.attempts)
     }
 
-    /// When the caller no longer wants to be connected.
+    /// Returns the time after which the caller no longer needs to be connected.
     pub(super) fn deadline(&self) -> Moment {
         self.first_attempt_at + self.timer_limit
     }
 }
 
-/// The caller that an attempt's id names; 0, which no caller has, where it names none.
+/// Returns the caller id of an attempt id. Returns 0, which no caller has, if the attempt id is invalid.
 pub(super) fn caller_id(attempt: &str) -> u32 {
     attempt.get(..CALLER_ID_DIGITS).and_then(|digits| u32::from_str_radix(digits, 16).ok()).unwrap_or(0)
 }
--- a/crates/ochrelead-emulator/src/lib.rs
+++ b/crates/ochrelead-emulator/src/lib.rs
@@ -1,8 +1,9 @@
 //! Emulated peers of a front: signalling servers with one processor each ([`server`]), all callers behind one gateway
-//! ([`callers`]), and the network between ([`network`]).
+//! ([`callers`]), and the network that connects them with the fronts ([`network`]).
 //!
-//! Like the front they are engines without I/O: datagrams and clock in, datagrams out. [`Peer::poll_timeout`] says when
-//! to call again. Their figures are models, set by the scenario.
+//! The peers do no I/O: the host passes in received datagrams and the current time, and polls datagrams to send.
+//! [`Peer::poll_timeout`] returns when the host must call [`Peer::process`] next. Capacities, delays and rates are
+//! model parameters of the scenario.
 
 pub mod callers;
 pub mod network;
@@ -12,22 +13,23 @@
 
 use ochrelead_core::time::Moment;
 
-/// The first transaction ids of a peer are drawn from its start time, below this bound.
+/// The first transaction id of a peer is its start time in microseconds modulo this value.
 const FIRST_TRANSACTION_RANGE: u64 = 900_000_000;
 
-/// An emulated peer, as its host calls it.
+/// The interface of an emulated peer towards its host.
 pub trait Peer {
-    /// Handles a datagram that was received.
+    /// Handles a received datagram.
     fn handle_datagram(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]);
-    /// Does what is due.
+    /// Performs all actions that are due at `now`.
     fn process(&mut self, now: Moment);
-    /// The next datagram to send, and its destination.
+    /// Takes the next datagram to send, with its destination.
     fn poll_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)>;
-    /// When [`Peer::process`] is due although nothing was received.
+    /// Returns when [`Peer::process`] must be called next if no datagram arrives before.
     fn poll_timeout(&self) -> Option<Moment>;
 }
 
-/// Where the transaction ids of a peer begin that starts now: processes that start one after the other do not share ids.
+/// Derives the initial transaction id of a peer from its start time, so that a restarted process does not reuse the ids
+/// of its previous incarnation.
 fn first_transaction(now: Moment) -> u32 {
     (now.micros() % FIRST_TRANSACTION_RANGE) as u32
 }
--- a/crates/ochrelead-emulator/src/network/faults.rs
+++ b/crates/ochrelead-emulator/src/network/faults.rs
@@ -1,37 +1,38 @@
-//! The faults of links, from those of a scenario.
+//! Derives link faults from the faults of a scenario.
 
 use ochrelead_config::faults::{FaultKind, InjectedFault};
 use ochrelead_config::scenario::Scenario;
 use ochrelead_core::time::{Moment, Span};
 
-/// A fault lasts at least so long.
+/// Lower limit of the duration of a link fault.
 const MIN_FAULT_DURATION: Span = Span::from_millis(1);
 
-/// A fault on the way from some parties to others, for a while.
+/// Loss of datagrams from some participants to others for a limited time.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkFault<P> {
-    /// The senders that it concerns; all of them where it names none.
+    /// The affected sender; none affects all senders.
     pub from: Option<P>,
-    /// The receivers that it concerns; all of them where it names none.
+    /// The affected receiver; none affects all receivers.
     pub to: Option<P>,
-    /// Its start.
+    /// The start of the fault (inclusive).
     pub start: Moment,
-    /// Its end: from here on it is over.
+    /// The end of the fault (exclusive).
     pub end: Moment,
-    /// The share of datagrams that are lost.
+    /// The share of datagrams that are lost, 0 to 1.
     pub loss: f64,
 }
 
 impl<P: Copy + PartialEq> LinkFault<P> {
-    /// Whether it concerns a link at a moment.
+    /// Whether the fault affects the link from `from` to `to` at `now`.
     pub(super) fn is_active(&self, now: Moment, from: P, to: P) -> bool {
-        let concerns = |named: Option<P>, party: P| named.is_none_or(|named| named == party);
-        now >= self.start && now < self.end && concerns(self.from, from) && concerns(self.to, to)
+        let affects =
+            |affected: Option<P>, participant: P| affected.is_none_or(|affected| affected == participant);
+        now >= self.start && now < self.end && affects(self.from, from) && affects(self.to, to)
     }
 }
 
-/// The faults of links in a scenario that begins at `start`. The parties are named by `front` and `server`, from their
-/// indices, and by `callers`.
+/// Returns the link faults of a scenario that begins at `start`. `front` and `server` map indices to participants;
+/// `callers` is the participant for the callers' gateway.
 pub fn link_faults<P: Copy>(
     scenario: &Scenario,
     start: Moment,
@@ -75,6 +76,6 @@
     from.iter().flat_map(|from| to.iter().map(|to| (Some(*from), Some(*to)))).collect()
 }
 
-fn both_ways<P: Copy>(party: P, others: &[P]) -> Vec<(Option<P>, Option<P>)> {
-    [one_way(&[party], others), one_way(others, &[party])].concat()
+fn both_ways<P: Copy>(participant: P, others: &[P]) -> Vec<(Option<P>, Option<P>)> {
+    [one_way(&[participant], others), one_way(others, &[participant])].concat()
 }
--- a/crates/ochrelead-emulator/src/server.rs
+++ b/crates/ochrelead-emulator/src/server.rs
@@ -1,5 +1,6 @@
-//! An emulated signalling server: one processor that set-ups, answers, releases, repeats and rejections all need; lines;
-//! and a cold start after which it warms up, or crashes where it is overloaded.
+//! An emulated signalling server. One processor serves all set-ups, answers, releases, retransmissions and rejections.
+//! The number of lines limits the established calls. After a start the process is cold and warms up; it crashes if it
+//! is overloaded while it is cold.
 
 mod circuits;
 mod overload;
@@ -21,39 +22,39 @@
 use processor::{Processor, SetUp, Task};
 use script::{Script, ScriptedAction};
 
-/// The reason code of calls that end because their processor is replaced.
+/// The reason code of calls that are cut because their server's process is replaced.
 const REPLACED: &str = "900 replaced";
 
 /// The state of a server's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProcessState {
     Serving,
-    /// It receives everything and answers nothing.
+    /// The process runs and receives datagrams, but sends none.
     Silent,
-    /// It does not run.
+    /// The process does not run.
     Stopped,
-    /// It was overloaded while it was cold, and does not run any more.
+    /// The process was overloaded while it was cold, and has ended.
     Crashed,
 }
 
-/// What a server is made from.
+/// The parameters of a server.
 #[derive(Clone, Debug)]
 pub struct ServerConfig<'a> {
     /// The scenario.
     pub scenario: &'a Scenario,
-    /// Which of the scenario's servers it is.
+    /// The index of the server in the scenario.
     pub index: usize,
-    /// Its name, the domain of its endpoints.
+    /// The name of the server, which is the domain of its endpoints.
     pub name: String,
     /// The addresses of all fronts.
     pub fronts: Vec<SocketAddr>,
     /// When the scenario begins.
     pub scenario_start: Moment,
-    /// Whether its process has just been started, and has to warm up.
+    /// Whether the process has just been started and must warm up.
     pub is_cold: bool,
 }
 
-/// The engine of one server.
+/// An emulated signalling server.
 pub struct Server {
     config: EmulatedServer,
     name: String,
@@ -64,18 +65,18 @@
     processor: Processor,
     overload: OverloadDetector,
     circuits: CircuitTable,
-    /// The last report to each front.
+    /// The transaction of the last load report to each front.
     last_reports: HashMap<SocketAddr, TransactionId>,
     script: Script,
     datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
 }
 
 impl Server {
-    /// A server whose process runs.
+    /// Creates a server whose process runs.
     ///
     /// # Panics
     ///
-    /// The scenario has no server of that index, or the name is not a valid domain.
+    /// Panics if the scenario has no server with this index, or if the name is not a valid domain.
     pub fn new(config: ServerConfig<'_>, now: Moment) -> Server {
         let ServerConfig { scenario, index, name, fronts, scenario_start, is_cold } = config;
         let config = scenario.servers[index];
@@ -98,13 +99,13 @@
         if is_cold {
             server.start_cold();
         }
-        // The servers' reports are spread over the interval.
+        // Staggers the load reports of the servers evenly over the interval.
         let offset = config.report_interval.scaled(index as f64 / scenario.servers.len() as f64);
         server.script.schedule_report(now + offset);
         server
     }
 
-    // ---- Its process ----
+    // ---- Process lifecycle ----
 
     fn start_cold(&mut self) {
         self.state = ProcessState::Serving;
@@ -112,7 +113,7 @@
         self.announce_restart();
     }
 
-    /// The process ends: all that it held is gone.
+    /// Ends the process: drops its calls and all queued work.
     fn end_process(&mut self, state: ProcessState) {
         self.state = state;
         self.processor.clear();
@@ -124,7 +125,7 @@
         matches!(self.state, ProcessState::Serving | ProcessState::Silent)
     }
 
-    /// Work arrives from outside, in set-ups: a cold process crashes where it is too much.
+    /// Counts arriving work, in units of one set-up. Ends a cold process as crashed if the work overloads it.
     fn add_load(&mut self, set_ups: f64) {
         if !self.processor.is_cold(self.now) {
             return self.overload.clear();
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Work that arrives from outside and leads to nothing, in set-ups.
+    /// Counts and queues arriving work that has no result, in units of one set-up.
     fn add_overhead(&mut self, set_ups: f64) {
         self.add_load(set_ups);
         self.processor.enqueue(set_ups, Task::Overhead);
@@ -172,7 +173,7 @@
         self.processor.enqueue(1.0, Task::SetUp(set_up));
     }
 
-    /// The response to a set-up that is rejected at once.
+    /// Returns the response to a set-up that must be rejected, or none if it can be accepted.
     fn rejection(&self, set_up: &SetUp) -> Option<Response> {
         let transaction = set_up.transaction;
         let queue_delay = self.processor.queue_delay(self.now);
@@ -181,7 +182,7 @@
             if !self.config.names_retry_after {
                 return Some(rejection);
             }
-            // After half of the delay there is room again.
+            // Half of the queue delay, after which the queue has room again.
             let retry_after_ms = queue_delay.micros() / 2_000;
             return Some(rejection.with(parameter::SERVER_RETRY_AFTER, retry_after_ms));
         }
@@ -210,7 +211,7 @@
         self.processor.enqueue(work, Task::Release { front: from, transaction, circuits });
     }
 
-    // ---- Finished work ----
+    // ---- Finished tasks ----
 
     fn on_finished(&mut self, task: Task) {
         match task {
@@ -239,15 +240,15 @@
         self.respond(front, response);
     }
 
-    // ---- The scenario ----
+    // ---- Scripted actions ----
 
-    fn act(&mut self, action: ScriptedAction) {
+    fn perform(&mut self, action: ScriptedAction) {
         match action {
             ScriptedAction::SetState(state) => self.set_state(state),
             ScriptedAction::AnnounceDrain => self.announce_drain(),
             ScriptedAction::Replace => self.replace(),
             ScriptedAction::SetSlowdown(slowdown) => self.processor.set_slowdown(slowdown),
-            ScriptedAction::ReportLines => {
+            ScriptedAction::ReportLoad => {
                 if self.state == ProcessState::Serving {
                     self.report_load();
                 }
@@ -265,7 +266,7 @@
         }
     }
 
-    /// A cold process takes the place of this one, whose calls are cut.
+    /// Replaces the process by a cold one and cuts its calls.
     fn replace(&mut self) {
         let calls = self.circuits.iter().map(|(id, circuit)| {
             let command = Command::new(Verb::DeleteConnection, 0, self.endpoint(&local_name(id)))
@@ -274,26 +275,26 @@
             (circuit.front, command)
         });
         for (front, command) in calls.collect::<Vec<_>>() {
-            // Where the table of commands is full, a front learns of the cut from the restart alone.
+            // If the limit of outstanding commands is reached, a front learns of the cut from the restart announcement.
             let _ = self.transactions.send_command(self.now, front, command);
         }
         self.end_process(ProcessState::Serving);
         self.start_cold();
     }
 
-    // ---- State that is shown ----
+    // ---- Observable state ----
 
-    /// How many calls are established.
+    /// Returns the number of established calls.
     pub fn established_calls(&self) -> usize {
         self.circuits.len()
     }
 
-    /// The established calls: the front and the attempt of each.
+    /// Iterates over the established calls as pairs of front address and attempt id.
     pub fn calls(&self) -> impl Iterator<Item = (SocketAddr, &str)> {
         self.circuits.iter().map(|(_, circuit)| (circuit.front, circuit.call_id.as_str()))
     }
 
-    /// Whether its process was overloaded while it was cold, and has crashed.
+    /// Whether the process has crashed because it was overloaded while it was cold.
     pub fn has_crashed(&self) -> bool {
         self.state == ProcessState::Crashed
     }
@@ -318,7 +319,7 @@
     fn process(&mut self, now: Moment) {
         self.now = self.now.max(now);
         while let Some(action) = self.script.next_due(now) {
-            self.act(action);
+            self.perform(action);
         }
         if !self.is_running() {
             while self.transactions.poll_datagram().is_some() {}
--- a/crates/ochrelead-emulator/src/server/circuits.rs
+++ b/crates/ochrelead-emulator/src/server/circuits.rs
@@ -1,9 +1,9 @@
-//! The established calls of a server, and the lines of the called numbers.
+//! The established calls of a server, and the number of calls to each called number.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// The lines of one called number at one server.
+/// The number of concurrent calls that one called number accepts at one server.
 const LINES_PER_NUMBER: usize = 4;
 
 /// One established call.
@@ -13,13 +13,13 @@
     pub(super) called_number: String,
 }
 
-/// Which circuits a DLCX releases.
+/// Selects the circuits that a DLCX releases.
 pub(super) struct CircuitSelector<'a> {
-    /// The front that has sent it: it can release its own calls only.
+    /// The front that sent the DLCX: a front can release only calls that it set up.
     pub(super) front: SocketAddr,
-    /// The local name of the endpoint, as in `trunk/7`.
+    /// The local name of the endpoint, for example `trunk/7`.
     pub(super) local_name: &'a str,
-    /// The endpoint names all circuits.
+    /// The endpoint name has a wildcard and matches all circuits.
     pub(super) has_wildcard: bool,
     pub(super) call_id: Option<&'a str>,
     pub(super) connection_id: Option<&'a str>,
@@ -27,20 +27,20 @@
 
 impl CircuitSelector<'_> {
     fn selects(&self, id: u32, circuit: &Circuit) -> bool {
-        let is_named = self.has_wildcard || self.local_name == local_name(id);
-        is_named
+        let matches_endpoint = self.has_wildcard || self.local_name == local_name(id);
+        matches_endpoint
             && circuit.front == self.front
             && self.connection_id.is_none_or(|connection| connection == connection_id(id))
             && self.call_id.is_none_or(|call_id| call_id == circuit.call_id)
     }
 }
 
-/// The local name of a circuit's endpoint.
+/// Returns the local name of a circuit's endpoint.
 pub(super) fn local_name(id: u32) -> String {
     format!("trunk/{id}")
 }
 
-/// The connection id of a circuit.
+/// Returns the connection id of a circuit.
 pub(super) fn connection_id(id: u32) -> String {
     format!("c{id}")
 }
@@ -66,7 +66,7 @@
         self.calls_by_number.get(called_number).is_some_and(|calls| *calls >= LINES_PER_NUMBER)
     }
 
-    /// Adds an established call: its id.
+    /// Adds an established call and returns the id of its circuit.
     pub(super) fn insert(&mut self, circuit: Circuit) -> u32 {
         self.last_id += 1;
         *self.calls_by_number.entry(circuit.called_number.clone()).or_insert(0) += 1;
@@ -74,7 +74,7 @@
         self.last_id
     }
 
-    /// The ids of the circuits that a DLCX releases.
+    /// Returns the ids of the circuits that a DLCX releases.
     pub(super) fn select(&self, selector: &CircuitSelector<'_>) -> Vec<u32> {
         let selected = self.iter().filter(|(id, circuit)| selector.selects(*id, circuit));
         selected.map(|(id, _)| id).collect()
@@ -91,7 +91,7 @@
         self.calls_by_number.retain(|_, calls| *calls > 0);
     }
 
-    /// Forgets all calls. Ids are not used again.
+    /// Removes all calls. Circuit ids are not reused.
     pub(super) fn clear(&mut self) {
         self.circuits.clear();
         self.calls_by_number.clear();
--- a/crates/ochrelead-emulator/src/server/processor.rs
+++ b/crates/ochrelead-emulator/src/server/processor.rs
@@ -1,4 +1,4 @@
-//! The one processor of a server: its queue, its speed, and what it works on.
+//! The single processor of a server: its queues, its speed, and the tasks that it executes.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -7,10 +7,10 @@
 use ochrelead_core::time::{Moment, Span};
 use ochrelead_mgcp::message::TransactionId;
 
-/// A fault slows a server down at least by this factor.
+/// Lower limit of the slowdown factor of a fault.
 const MIN_SLOWDOWN: f64 = 0.01;
 
-/// A set-up that was accepted.
+/// An accepted set-up.
 #[derive(Clone)]
 pub(super) struct SetUp {
     pub(super) front: SocketAddr,
@@ -20,7 +20,7 @@
     pub(super) is_cancelled: bool,
 }
 
-/// What the processor works on.
+/// A task of the processor.
 pub(super) enum Task {
     /// The set-up of a call.
     SetUp(SetUp),
@@ -28,12 +28,12 @@
     Answer(SetUp),
     /// The release of calls.
     Release { front: SocketAddr, transaction: TransactionId, circuits: Vec<u32> },
-    /// Work that leads to nothing: repeats, rejections, audits.
+    /// Work without a result: retransmissions, rejections, audits.
     Overhead,
 }
 
 struct Job {
-    /// How long it takes at full speed.
+    /// The processing time at full speed.
     work: Span,
     task: Task,
 }
@@ -45,16 +45,17 @@
 
 pub(super) struct Processor {
     config: EmulatedServer,
-    /// When it was started cold; none where it has been warm since before the scenario.
+    /// The time of the last cold start; none if the processor was already warm when the scenario began.
     started_at: Option<Moment>,
     slowdown: f64,
+    /// Answers and releases, if the scenario prioritizes them over set-ups.
     priority_queue: VecDeque<Job>,
     queue: VecDeque<Job>,
     running: Option<RunningJob>,
 }
 
 impl Processor {
-    /// A warm processor.
+    /// Creates a warm processor.
     pub(super) fn new(config: EmulatedServer) -> Processor {
         Processor {
             config,
@@ -66,12 +67,12 @@
         }
     }
 
-    /// The process starts, with cold caches.
+    /// Starts the process with cold caches.
     pub(super) fn start_cold(&mut self, now: Moment) {
         self.started_at = Some(now);
     }
 
-    /// Slows the processor down by this factor.
+    /// Divides the speed of the processor by this factor.
     pub(super) fn set_slowdown(&mut self, slowdown: f64) {
         self.slowdown = slowdown.max(MIN_SLOWDOWN);
     }
@@ -80,27 +81,27 @@
         self.started_at.is_some_and(|started_at| now.since(started_at) < self.config.warm_up_time)
     }
 
-    /// Its speed, as a share of that of a warm one.
+    /// Returns the current speed as a share of the full speed. It rises linearly during the warm-up.
     pub(super) fn speed(&self, now: Moment) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 / self.slowdown };
-        let warmth = now.since(started_at).ratio(self.config.warm_up_time).min(1.0);
-        (self.config.cold_share + (1.0 - self.config.cold_share) * warmth) / self.slowdown
+        let warm_up_progress = now.since(started_at).ratio(self.config.warm_up_time).min(1.0);
+        (self.config.cold_share + (1.0 - self.config.cold_share) * warm_up_progress) / self.slowdown
     }
 
-    /// How many set-ups it can work on within a duration, at its present speed.
+    /// Returns the number of set-ups that the processor can execute within a duration at its current speed.
     pub(super) fn capacity(&self, now: Moment, duration: Span) -> f64 {
         let second = Span::from_secs(1);
         duration.ratio(second) * second.ratio(self.config.set_up_time()) * self.speed(now)
     }
 
-    /// How long all that is queued takes.
+    /// Returns the time until all queued and running work is finished, at the current speed.
     pub(super) fn queue_delay(&self, now: Moment) -> Span {
         let queued = self.priority_queue.iter().chain(&self.queue).map(|job| job.work);
         let running = self.running.as_ref().map_or(Span::ZERO, |running| running.finished_at.since(now));
         queued.fold(Span::ZERO, |sum, work| sum + work).scaled(1.0 / self.speed(now)) + running
     }
 
-    /// Queues a task whose work is this share of that of a set-up.
+    /// Queues a task whose work is `share` times that of a set-up.
     pub(super) fn enqueue(&mut self, share: f64, task: Task) {
         let is_follow_up = matches!(task, Task::Answer(_) | Task::Release { .. });
         let job = Job { work: self.config.set_up_time().scaled(share), task };
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Marks the set-ups of a call as cancelled; where the scenario says so they need no more work either.
+    /// Marks the set-ups of a call as cancelled. If the scenario says that servers discard cancelled set-ups, reduces
+    /// their work to that of reading a message.
     pub(super) fn cancel(&mut self, front: SocketAddr, call_id: &str) {
         let read_work = self.config.set_up_time().scaled(self.config.read_work);
         let running = self.running.iter_mut().map(|running| &mut running.job);
@@ -128,7 +130,7 @@
         }
     }
 
-    /// The next task that is finished by now; the one behind it is begun.
+    /// Takes the running task if it is finished by `now`. Starts the next queued task if none is running.
     pub(super) fn poll_finished(&mut self, now: Moment) -> Option<Task> {
         loop {
             if let Some(running) = self.running.take_if(|running| running.finished_at <= now) {
@@ -143,14 +145,14 @@
         }
     }
 
-    /// Drops all work.
+    /// Drops the running task and all queued tasks.
     pub(super) fn clear(&mut self) {
         self.priority_queue.clear();
         self.queue.clear();
         self.running = None;
     }
 
-    /// When the running task is finished.
+    /// Returns when the running task is finished.
     pub(super) fn poll_timeout(&self) -> Option<Moment> {
         self.running.as_ref().map(|running| running.finished_at)
     }
--- a/crates/ochrelead-emulator/src/server/reports.rs
+++ b/crates/ochrelead-emulator/src/server/reports.rs
@@ -1,4 +1,5 @@
-//! What a server says of itself to the fronts: its load, in all its messages, and its restarts.
+//! Messages in which a server reports its state to the fronts: its load, in all responses and in periodic reports, and
+//! its restarts.
 
 use std::net::SocketAddr;
 
@@ -7,19 +8,19 @@
 
 use super::Server;
 
-/// A server asks to hold back twice the share by which its queue is filled, at the most this.
+/// Upper limit of the hold-back share that a server reports, which is twice the share by which its queue is filled.
 const MAX_HOLD_BACK_SHARE: f64 = 0.95;
-/// The restart method of a server that starts (RFC 3435 section 2.3.12).
+/// The restart method of a server that has started (RFC 3435 section 2.3.12).
 const RESTART: &str = "restart";
 /// The restart method of a server that will be taken out of service.
 const GRACEFUL: &str = "graceful";
-/// How long before its end a server announces that it drains, as it says.
+/// The restart delay that a draining server announces. The scenario decides when the server is really replaced.
 const DRAIN_NOTICE: Span = Span::from_secs(2);
 
 type ParameterLine = (&'static str, String);
 
 impl Server {
-    /// The load that it reports.
+    /// Returns the parameter lines that report the current load.
     fn load_parameters(&self) -> Vec<ParameterLine> {
         let free = (self.config.lines as usize).saturating_sub(self.circuits.len());
         let mut lines = vec![(parameter::LINE_CAPACITY, format!("{free}/{}", self.config.lines))];
@@ -43,12 +44,12 @@
         self.transactions.respond(to, response);
     }
 
-    /// Announces to all fronts that its process has started.
+    /// Announces to all fronts that the process has started.
     pub(super) fn announce_restart(&mut self) {
         self.announce(RESTART, Span::ZERO);
     }
 
-    /// Announces to all fronts that it will be replaced.
+    /// Announces to all fronts that the server drains and will be replaced.
     pub(super) fn announce_drain(&mut self) {
         self.announce(GRACEFUL, DRAIN_NOTICE);
     }
@@ -58,12 +59,12 @@
             let command = Command::new(Verb::RestartInProgress, 0, self.all_endpoints())
                 .with(parameter::RESTART_METHOD, restart_method)
                 .with(parameter::RESTART_DELAY, delay.micros() / 1_000_000);
-            // The table is full only where no front answers: then there is nobody to tell.
+            // The limit of outstanding commands is reached only if no front answers; the announcement is then dropped.
             let _ = self.transactions.send_command(self.now, front, command);
         }
     }
 
-    /// Reports its load to all fronts. An older report is not retransmitted any more.
+    /// Sends a load report to all fronts and stops retransmitting the previous report.
     pub(super) fn report_load(&mut self) {
         for front in self.fronts.clone() {
             let command =
@@ -71,9 +72,9 @@
             let load = self.load_parameters().into_iter();
             let command = load.fold(command, |command, (name, value)| command.with(name, value));
             if let Ok(transaction) = self.transactions.send_command(self.now, front, command)
-                && let Some(former) = self.last_reports.insert(front, transaction)
+                && let Some(previous) = self.last_reports.insert(front, transaction)
             {
-                self.transactions.abandon(self.now, former);
+                self.transactions.abandon(self.now, previous);
             }
         }
     }
@@ -82,7 +83,7 @@
         self.endpoint("*")
     }
 
-    /// The endpoint with that local name.
+    /// Returns the endpoint of this server with this local name.
     pub(super) fn endpoint(&self, local_name: &str) -> Endpoint {
         format!("{local_name}@{}", self.name).parse().expect("the name of a server is a valid domain")
     }
--- a/crates/ochrelead-emulator/src/server/script.rs
+++ b/crates/ochrelead-emulator/src/server/script.rs
@@ -1,4 +1,4 @@
-//! What happens to a server in the course of a scenario.
+//! The timed actions of a server in a scenario: its faults and its load reports.
 
 use std::collections::BTreeMap;
 
@@ -8,39 +8,39 @@
 
 use super::ProcessState;
 
-/// Reports come behind all faults of the same moment.
+/// Sort key of load reports: a report follows all fault actions that are due at the same time.
 const REPORT_ORDER: usize = usize::MAX;
 
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ScriptedAction {
     SetState(ProcessState),
-    /// Announces that it will be replaced.
+    /// Announces that the server drains and will be replaced.
     AnnounceDrain,
-    /// The old processor goes, a cold one takes its place.
+    /// Replaces the process by a cold one.
     Replace,
-    /// Slows the processor down by this factor.
+    /// Divides the speed of the processor by this factor.
     SetSlowdown(f64),
-    /// Reports its lines to all fronts.
-    ReportLines,
+    /// Reports the load to all fronts.
+    ReportLoad,
 }
 
-/// The scripted actions that are still to come, in their order.
+/// The scripted actions that are not performed yet, ordered by due time.
 pub(super) struct Script {
     actions: BTreeMap<(Moment, usize), ScriptedAction>,
 }
 
 impl Script {
-    /// The script of the server with this index, in a scenario that begins at `start`. Kills and starts of its process
-    /// are its host's.
+    /// Creates the script of the server with this index, in a scenario that begins at `start`. Killing and starting the
+    /// process on a crash fault is left to the host.
     pub(super) fn new(scenario: &Scenario, index: usize, start: Moment, now: Moment) -> Script {
         let mut actions = BTreeMap::new();
         for (order, fault) in scenario.faults.iter().enumerate() {
             let (begins_at, ends_at) = (start + fault.start, start + fault.start + fault.duration);
-            let concerns_server = fault.kind == FaultKind::AllSlow || fault.targets.contains(&index);
-            if ends_at <= now || !concerns_server {
+            let affects_server = fault.kind == FaultKind::AllSlow || fault.targets.contains(&index);
+            if ends_at <= now || !affects_server {
                 continue;
             }
-            if let Some((begin, end)) = begin_and_end(fault) {
+            if let Some((begin, end)) = start_and_end_actions(fault) {
                 actions.insert((begins_at, order * 2), begin);
                 actions.insert((ends_at, order * 2 + 1), end);
             }
@@ -48,25 +48,25 @@
         Script { actions }
     }
 
-    /// Schedules the next report of its lines.
+    /// Schedules the next load report.
     pub(super) fn schedule_report(&mut self, due: Moment) {
-        self.actions.insert((due, REPORT_ORDER), ScriptedAction::ReportLines);
+        self.actions.insert((due, REPORT_ORDER), ScriptedAction::ReportLoad);
     }
 
-    /// The next action that is due.
+    /// Takes the next action that is due at `now`.
     pub(super) fn next_due(&mut self, now: Moment) -> Option<ScriptedAction> {
         let entry = self.actions.first_entry().filter(|entry| entry.key().0 <= now)?;
         Some(entry.remove())
     }
 
-    /// When the next action is due.
+    /// Returns when the next action is due.
     pub(super) fn poll_timeout(&self) -> Option<Moment> {
         self.actions.first_key_value().map(|((due, _), _)| *due)
     }
 }
 
-/// What happens to a server at the begin and at the end of a fault; none where it is no fault of a server.
-fn begin_and_end(fault: &InjectedFault) -> Option<(ScriptedAction, ScriptedAction)> {
+/// Returns the actions at the start and at the end of a fault; none if the fault has no scripted action at a server.
+fn start_and_end_actions(fault: &InjectedFault) -> Option<(ScriptedAction, ScriptedAction)> {
     let recovery = ScriptedAction::SetState(ProcessState::Serving);
     match fault.kind {
         FaultKind::Silent => Some((ScriptedAction::SetState(ProcessState::Silent), recovery)),
--- a/crates/ochrelead-emulator/tests/emulator.rs
+++ b/crates/ochrelead-emulator/tests/emulator.rs
@@ -1,4 +1,4 @@
-//! Emulated servers, callers and network do what a scenario says.
+//! Emulated servers, callers and network behave as configured by a scenario.
 
 use std::net::SocketAddr;
 
@@ -28,11 +28,11 @@
     "127.0.0.1:1".parse().unwrap()
 }
 
-fn scenario_with(more: &str) -> Scenario {
-    scenario::parse("day", &format!("{SCENARIO}{more}")).unwrap()
+fn scenario_with(extra_fields: &str) -> Scenario {
+    scenario::parse("day", &format!("{SCENARIO}{extra_fields}")).unwrap()
 }
 
-/// Runs a peer up to a moment: what it sent, with the milliseconds.
+/// Runs a peer from one time to another, in steps of 1 ms. Returns the messages that it sent, with their times in ms.
 fn run(peer: &mut impl Peer, from: u64, to: u64) -> Vec<(u64, Message)> {
     let mut sent = Vec::new();
     for ms in from..=to {
@@ -44,8 +44,8 @@
     sent
 }
 
-fn server(more: &str, is_cold: bool) -> Server {
-    server_of(&scenario_with(more), is_cold)
+fn server(extra_fields: &str, is_cold: bool) -> Server {
+    server_of(&scenario_with(extra_fields), is_cold)
 }
 
 fn server_of(scenario: &Scenario, is_cold: bool) -> Server {
@@ -67,7 +67,7 @@
     peer.handle_datagram(at(ms), front(), &write::datagram(&[Message::Command(command)]));
 }
 
-/// The codes of the responses, with their milliseconds.
+/// Returns the codes of the responses, with their times in ms.
 fn codes(sent: &[(u64, Message)]) -> Vec<(u64, u16)> {
     let code = |(ms, message): &(u64, Message)| match message {
         Message::Response(response) => Some((*ms, response.code)),
@@ -77,12 +77,17 @@
 }
 
 #[test]
-fn set_up_and_answer_need_the_processor() {
-    // Ten sessions a second with an answer and a release of half a set-up each: 50 ms and 25 ms.
+fn set_ups_and_answers_are_processed_in_queue_order() {
+    // The server carries 10 sessions per second, and an answer or a release has half the work of a set-up: a set-up
+    // takes 50 ms, an answer 25 ms and a release 25 ms.
     let mut server = server("", false);
     send_command(&mut server, 0, Verb::CreateConnection, 1, "a");
     send_command(&mut server, 0, Verb::CreateConnection, 2, "b");
-    assert_eq!(codes(&run(&mut server, 0, 400)), [(125, 200), (150, 200)], "answers wait behind set-ups");
+    assert_eq!(
+        codes(&run(&mut server, 0, 400)),
+        [(125, 200), (150, 200)],
+        "answers are queued behind set-ups"
+    );
     assert_eq!(server.established_calls(), 2);
     send_command(&mut server, 500, Verb::DeleteConnection, 3, "a");
     assert_eq!(codes(&run(&mut server, 500, 900)), [(525, 250)]);
@@ -90,7 +95,7 @@
 }
 
 #[test]
-fn repeat_is_work_and_takes_no_second_circuit() {
+fn retransmission_costs_work_and_takes_no_second_circuit() {
     let mut server = server("", false);
     for ms in [0, 10, 20] {
         send_command(&mut server, ms, Verb::CreateConnection, 1, "a");
@@ -98,19 +103,19 @@
     assert_eq!(
         codes(&run(&mut server, 20, 400)),
         [(145, 200)],
-        "two repeats of half a set-up come before its answer"
+        "two retransmissions, at half the work of a set-up each, are processed before the answer"
     );
     send_command(&mut server, 500, Verb::CreateConnection, 1, "a");
     assert_eq!(
         (codes(&run(&mut server, 500, 900)), server.established_calls()),
         (vec![(500, 200)], 1),
-        "from the history"
+        "answered at once from the history"
     );
 }
 
-#[test_case(40, code::OVERLOAD; "a queue past its bound")]
-#[test_case(9, code::NO_ENDPOINT; "no line free")]
-fn set_ups_are_rejected(set_ups: u32, code: u16) {
+#[test_case(40, code::OVERLOAD; "queue delay above its limit")]
+#[test_case(9, code::NO_ENDPOINT; "no free line")]
+fn set_up_beyond_queue_or_line_limit_is_rejected(set_ups: u32, code: u16) {
     let mut server = server("", false);
     let gap = if code == code::OVERLOAD { 0 } else { 300 };
     let mut seen = Vec::new();
@@ -122,10 +127,10 @@
     assert!(seen.iter().any(|(_, seen)| *seen == code), "{seen:?}");
 }
 
-#[test_case("", 130; "worked on all the same")]
-#[test_case("cancel_drops: true", 85; "dropped")]
-fn cancelled_set_up(more: &str, answered_at: u64) {
-    let text = SCENARIO.replace("queue_ms", &format!("{more} queue_ms"));
+#[test_case("", 130; "processed in full")]
+#[test_case("cancel_drops: true", 85; "discarded")]
+fn cancelled_set_up_is_aborted(server_field: &str, answered_at: u64) {
+    let text = SCENARIO.replace("queue_ms", &format!("{server_field} queue_ms"));
     let mut server = server_of(&scenario::parse("day", &text).unwrap(), false);
     send_command(&mut server, 0, Verb::CreateConnection, 1, "a");
     send_command(&mut server, 0, Verb::CreateConnection, 2, "b");
@@ -137,8 +142,8 @@
     assert_eq!((first, server.established_calls()), (answered_at, 1), "{seen:?}");
 }
 
-#[test_case(5, false; "few set-ups")]
-#[test_case(100, true; "many within the overload window")]
+#[test_case(5, false; "work within the overload limit")]
+#[test_case(100, true; "work beyond the overload limit")]
 fn cold_server_crashes_when_overloaded(set_ups: u32, crashes: bool) {
     let mut server = server("", true);
     let started = run(&mut server, 0, 0);
@@ -154,7 +159,7 @@
 #[test_case("silent", 0; "silent")]
 #[test_case("vanish", 0; "vanished")]
 #[test_case("slow", 1; "slow")]
-fn faulty_server(kind: &str, answers: usize) {
+fn faulty_server_answers_late_or_not_at_all(kind: &str, answers: usize) {
     let mut server =
         server(&format!("trouble {{ kind: \"{kind}\" at_ms: 0 length_ms: 5000 which: 0 size: 4 }}"), false);
     run(&mut server, 0, 1);
@@ -165,7 +170,7 @@
 }
 
 #[test]
-fn drain_is_announced_and_calls_of_the_old_processor_are_cut() {
+fn drain_is_announced_and_calls_of_the_replaced_process_are_cut() {
     let mut server = server("trouble { kind: \"replaced\" at_ms: 500 length_ms: 1000 which: 0 }", false);
     send_command(&mut server, 0, Verb::CreateConnection, 1, "a");
     let sent = run(&mut server, 0, 1_600);
@@ -185,7 +190,7 @@
 }
 
 #[test]
-fn rejected_caller_dials_again_after_the_retry_after_and_talks() {
+fn rejected_caller_redials_after_the_retry_after_and_is_connected() {
     let mut callers = Callers::new(scenario_with(""), vec![front()], at(0), at(0));
     let mut attempts = Vec::new();
     let mut answered = 0;
@@ -218,25 +223,29 @@
     assert!(redials.len() > 40, "{}", redials.len());
     for (attempt, ms) in redials {
         let first = attempts.iter().find(|(known, _)| known[..8] == attempt[..8]).unwrap().1;
-        assert!((300..=301).contains(&(ms - first)), "after the retry-after");
+        assert!((300..=301).contains(&(ms - first)), "redials 300 ms after its first attempt");
     }
     assert!(
         !attempts.iter().any(|(attempt, _)| attempt.ends_with("03")),
-        "a caller that was connected does not dial again"
+        "a connected caller does not redial"
     );
 }
 
 #[test]
-fn callers_are_the_same_from_the_same_seed() {
+fn same_seed_gives_the_same_callers() {
     let datagrams = || run(&mut Callers::new(scenario_with(""), vec![front()], at(0), at(0)), 0, 5_000);
     assert_eq!(datagrams(), datagrams());
 }
 
 #[test_case(0.0, &[], 100; "no loss")]
-#[test_case(1.0, &[], 0; "all is lost")]
-#[test_case(0.0, &[(Some(1), None)], 0; "a fault on the way from the sender")]
-#[test_case(0.0, &[(Some(2), Some(1))], 100; "a fault on the way back")]
-fn network(loss: f64, faults: &[(Option<u8>, Option<u8>)], arrive: usize) {
+#[test_case(1.0, &[], 0; "total loss")]
+#[test_case(0.0, &[(Some(1), None)], 0; "link fault from the sender")]
+#[test_case(0.0, &[(Some(2), Some(1))], 100; "link fault in the opposite direction")]
+fn datagrams_arrive_unless_lost_or_affected_by_a_link_fault(
+    loss: f64,
+    faults: &[(Option<u8>, Option<u8>)],
+    arrive: usize,
+) {
     let config = scenario::EmulatedNetwork {
         delay: Span::from_millis(5),
         jitter: 0.2,
@@ -253,6 +262,6 @@
     };
     let mut network = Network::new(config, faults.iter().map(fault).collect(), 7);
     (0..100).for_each(|_| network.send(at(1), 1u8, 2u8, b"x"));
-    assert!(network.poll_arrival(at(1)).is_none(), "nothing arrives at once");
+    assert!(network.poll_arrival(at(1)).is_none(), "no datagram arrives without delay");
     assert_eq!(std::iter::from_fn(|| network.poll_arrival(at(60))).count(), arrive);
 }
