--- a/crates/ochrelead-event-log/build.rs
+++ b/crates/ochrelead-event-log/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema of the records. No protoc is needed.
+//! Compiles the schema of the event log without protoc.
 
 use std::env;
 use std::error::Error;
--- a/crates/ochrelead-event-log/src/damage.rs
+++ b/crates/ochrelead-event-log/src/damage.rs
@@ -1,22 +1,23 @@
-//! What could not be read.
+//! Files and bytes of logs that could not be read.
 
 use std::collections::BTreeMap;
 
-/// What could not be read, or not wholly.
+/// Files and events that could not be read, or only in part.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Damage {
-    /// Files that are no segments.
+    /// Names of files with the segment extension that are not segments or can't be read.
     pub foreign: Vec<String>,
-    /// Segments with bytes behind the last whole frame, and how many. One that is being written may have some.
+    /// Names of segments with bytes after the last complete frame, and the number of these bytes. A segment that is
+    /// being written can temporarily have an incomplete frame at its end.
     pub truncated: BTreeMap<String, u64>,
-    /// Segments of a newer version: what is known of them was read.
+    /// Names of segments with a newer schema version, and that version. Their known fields and events were read.
     pub newer: BTreeMap<String, u32>,
-    /// Events of kinds that this program does not know.
+    /// The number of events of unknown kinds.
     pub unknown_events: u64,
 }
 
 impl Damage {
-    /// Adds what another reading found.
+    /// Adds the damage that another read operation found.
     pub fn merge(&mut self, other: &Damage) {
         self.foreign.extend(other.foreign.iter().cloned());
         self.truncated.extend(other.truncated.iter().map(|(name, bytes)| (name.clone(), *bytes)));
--- a/crates/ochrelead-event-log/src/follower.rs
+++ b/crates/ochrelead-event-log/src/follower.rs
@@ -1,4 +1,4 @@
-//! Reading logs that still grow.
+//! Reads logs that are still being written.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -14,19 +14,19 @@
 use crate::schema::Head;
 use crate::writer::EXTENSION;
 
-/// The most bytes of one file that are read at once: memory does not grow with the length of a log.
-const MAX_READ: u64 = 1 << 20;
+/// Maximum number of bytes that are read from a file at once, so that memory does not grow with the length of a log.
+const MAX_READ_BYTES: u64 = 1 << 20;
 
-/// How far a segment has been read.
+/// The read position in a segment.
 #[derive(Default)]
 struct SegmentPosition {
-    /// Whose segment it is; none before its head has been read.
+    /// The incarnation that wrote the segment; none before its head has been read.
     incarnation: Option<FrontIncarnation>,
     version: u32,
     offset: u64,
 }
 
-/// Follows all logs of a folder, also as they grow and as fronts restart.
+/// Follows all logs of a folder while they grow, including new logs of restarted fronts.
 pub struct Follower {
     folder: PathBuf,
     positions: BTreeMap<String, SegmentPosition>,
@@ -34,17 +34,17 @@
 }
 
 impl Follower {
-    /// A follower that has read nothing yet.
+    /// Creates a follower that starts at the beginning of each log.
     pub fn new(folder: &Path) -> Follower {
         Follower { folder: folder.to_owned(), positions: BTreeMap::new(), damage: Damage::default() }
     }
 
-    /// Hands new records to `handle`, file by file in the order of incarnations and segments; true where there is more
-    /// than is read at once.
+    /// Passes new records to `handle`, file by file in the order of file names, which is that of front, incarnation and
+    /// segment. Returns true if more records can be read at once by a further call.
     ///
     /// # Errors
     ///
-    /// Where the folder can't be read. A file that can't be read is skipped until the next time.
+    /// Fails if the folder can't be read. A file that can't be read is skipped until the next call.
     pub fn read_new(&mut self, mut handle: impl FnMut(Record)) -> io::Result<bool> {
         let mut names: Vec<String> = fs::read_dir(&self.folder)?
             .flatten()
@@ -68,7 +68,7 @@
         }
         file.seek(SeekFrom::Start(segment.offset))?;
         let mut bytes = Vec::new();
-        file.take(MAX_READ).read_to_end(&mut bytes)?;
+        file.take(MAX_READ_BYTES).read_to_end(&mut bytes)?;
         let mut frames = Frames::new(&bytes);
         for frame in frames.by_ref() {
             if let Some(incarnation) = &segment.incarnation {
@@ -88,18 +88,18 @@
             }
             segment.incarnation = Some(FrontIncarnation { front: head.front, started_us: head.started_us });
         }
-        let (whole, rest) = (frames.position() as u64, frames.remaining() as u64);
-        segment.offset += whole;
-        let has_more = length > segment.offset && whole > 0;
-        if rest > 0 && !has_more {
-            self.damage.truncated.insert(name.to_owned(), rest);
+        let (complete_bytes, incomplete_bytes) = (frames.position() as u64, frames.remaining() as u64);
+        segment.offset += complete_bytes;
+        let has_more = length > segment.offset && complete_bytes > 0;
+        if incomplete_bytes > 0 && !has_more {
+            self.damage.truncated.insert(name.to_owned(), incomplete_bytes);
         } else {
             self.damage.truncated.remove(name);
         }
         Ok(has_more)
     }
 
-    /// What could not be read so far.
+    /// Returns the damage found so far.
     pub fn damage(&self) -> &Damage {
         &self.damage
     }
--- a/crates/ochrelead-event-log/src/lib.rs
+++ b/crates/ochrelead-event-log/src/lib.rs
@@ -1,9 +1,10 @@
-//! The event log of a front.
+//! The event log of a front: files (segments) of framed protobuf messages.
 //!
-//! - [`schema`]: the events (see `proto/records.proto`, with the rules of how it may change).
-//! - [`frame`]: length, checksum, message; what is left of a truncated or corrupted file.
-//! - [`writer`]: segments of bounded size, the oldest dropped; a bounded queue before the disk.
-//! - [`reader`]: whole logs piece by piece; [`follower`]: logs that still grow.
+//! - [`schema`]: the events, generated from `proto/records.proto`, which also states the rules for schema changes.
+//! - [`frame`]: the encoding of a message with its length and checksum; detects truncation and corruption.
+//! - [`writer`]: writes segments of bounded size behind a bounded queue, and deletes the oldest segments.
+//! - [`reader`]: reads finished logs in chunks.
+//! - [`follower`]: reads logs that are still being written.
 //!
 //! ```
 //! use ochrelead_event_log::frame::{Frames, append};
@@ -24,15 +25,15 @@
 pub mod reader;
 pub mod writer;
 
-/// The schema's own types.
+/// The message types of the schema.
 #[allow(missing_docs, reason = "generated from proto/records.proto, which has the comments")]
 #[allow(unreachable_pub, reason = "generated")]
 pub mod schema {
     include!(concat!(env!("OUT_DIR"), "/ochrelead.records.rs"));
 }
 
-/// The version of the schema that this program writes.
+/// The schema version that [`writer`] writes.
 pub const VERSION: u32 = 1;
 
-/// How a server's message on its lines begins; `free/total` follows.
+/// The prefix of the text that a `Told` event records for a server's report of its lines; `free/total` follows.
 pub const LINES: &str = "lines ";
--- a/crates/ochrelead-event-log/src/reader.rs
+++ b/crates/ochrelead-event-log/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading whole logs, piece by piece: memory does not grow with their length.
+//! Reads finished logs in chunks, so that memory does not grow with their length.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fs::{self, File};
@@ -17,35 +17,35 @@
 
 static SCHEMA: LazyLock<DescriptorPool> = LazyLock::new(|| {
     let bytes = include_bytes!(concat!(env!("OUT_DIR"), "/records.bin"));
-    DescriptorPool::decode(bytes.as_slice()).expect("the schema was compiled by the build")
+    DescriptorPool::decode(bytes.as_slice()).expect("the build script compiles a valid schema")
 });
 
-/// Bytes that are read at once; a longer frame is read whole.
+/// Number of bytes that are read at once, unless a frame is longer.
 const READ_LENGTH: u64 = 1 << 15;
-/// By what factor more is read where a frame is longer than that.
-const READ_GROWTH: u64 = 8;
+/// The factor by which the read length grows until a frame that is longer fits.
+const READ_LENGTH_GROWTH: u64 = 8;
 
-/// A front from one start of its process to the next.
+/// An incarnation of a front: one run of its process, from one start to the next.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FrontIncarnation {
     /// The name of the front.
     pub front: String,
-    /// When its process started, in microseconds since 1970 on its own clock.
+    /// The start time of the process, in microseconds since 1970 on the front's clock.
     pub started_us: u64,
 }
 
-/// One event, with whose it is.
+/// An event and the incarnation that logged it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// Whose event it is.
+    /// The incarnation that logged the event.
     pub incarnation: FrontIncarnation,
     /// The event.
     pub event: Event,
-    /// How many fields of a newer version it has that this program does not know.
+    /// The number of fields of the event that are unknown because they belong to a newer schema version.
     pub unknown_fields: usize,
 }
 
-/// Decodes an event; none where the frame holds no event.
+/// Decodes an event. Returns none if the frame does not hold an event.
 pub(crate) fn decode_record(
     frame: &[u8],
     version: u32,
@@ -58,9 +58,9 @@
     Some(Record { incarnation: incarnation.clone(), event, unknown_fields })
 }
 
-/// How many fields of an event this program's schema does not have.
+/// Counts the fields of an event, and of its direct submessages, that are not in the schema.
 fn count_unknown_fields(frame: &[u8]) -> usize {
-    let schema = SCHEMA.get_message_by_name("ochrelead.records.Event").expect("a message of this schema");
+    let schema = SCHEMA.get_message_by_name("ochrelead.records.Event").expect("the schema defines Event");
     DynamicMessage::decode(schema, frame).map_or(0, |event| {
         let nested = event
             .fields()
@@ -69,33 +69,34 @@
     })
 }
 
-/// The log of one incarnation in the order in which it was written.
+/// The log of one incarnation. Iterates over its records in the order in which they were written.
 #[derive(Clone, Debug)]
 pub struct Log {
-    /// Whose log it is.
+    /// The incarnation that wrote the log.
     pub incarnation: FrontIncarnation,
+    /// Segments that are not read to their end yet.
     segments: VecDeque<PathBuf>,
-    /// Where the first of them is read on.
+    /// The read position in the first of these segments.
     offset: u64,
     decoded: VecDeque<Record>,
     damage: Damage,
 }
 
 impl Log {
-    /// A log that is in memory.
+    /// Creates a log from records in memory.
     pub fn from_records(incarnation: FrontIncarnation, records: impl IntoIterator<Item = Record>) -> Log {
         let decoded = records.into_iter().collect();
         Log { incarnation, segments: VecDeque::new(), offset: 0, decoded, damage: Damage::default() }
     }
 
-    /// What could not be read so far.
+    /// Returns the damage found so far.
     pub fn damage(&self) -> &Damage {
         &self.damage
     }
 
-    /// Reads on in the first segment; false where there is nothing more in it. One that can't be read, or is
-    /// truncated, ends there; the next may be whole.
-    fn read_on(&mut self, path: &Path) -> io::Result<bool> {
+    /// Reads the next chunk of a segment. Returns false at the end of the segment, or at a frame that is incomplete or
+    /// corrupted; the following segments can still be valid.
+    fn read_chunk(&mut self, path: &Path) -> io::Result<bool> {
         let mut file = File::open(path)?;
         let length = file.metadata()?.len();
         let mut read_length = READ_LENGTH;
@@ -108,23 +109,24 @@
             for frame in frames.by_ref() {
                 self.decoded.extend(decode_record(frame, version, &self.incarnation, &mut self.damage));
             }
-            let whole = frames.position() as u64;
-            if whole > 0 {
-                self.offset += whole;
+            let complete_bytes = frames.position() as u64;
+            if complete_bytes > 0 {
+                self.offset += complete_bytes;
                 return Ok(true);
             }
-            let left = length.saturating_sub(self.offset);
-            if read_length >= left {
-                if left > 0 {
-                    self.damage.truncated.insert(file_name(path), left);
+            let unread_bytes = length.saturating_sub(self.offset);
+            if read_length >= unread_bytes {
+                if unread_bytes > 0 {
+                    self.damage.truncated.insert(file_name(path), unread_bytes);
                 }
                 return Ok(false);
             }
-            read_length *= READ_GROWTH;
+            read_length *= READ_LENGTH_GROWTH;
         }
     }
 
-    /// The version of a segment, from its head where that is still to be read; none where it has no head.
+    /// Returns the schema version of a segment. Reads the head if the position is at the start of the segment; returns
+    /// none if there is no valid head. After the head, only tells whether the version is newer than [`VERSION`].
     fn segment_version(&mut self, path: &Path, frames: &mut Frames<'_>) -> Option<u32> {
         if self.offset > 0 {
             let is_newer = self.damage.newer.contains_key(&file_name(path));
@@ -151,7 +153,7 @@
                 return Some(record);
             }
             let path = self.segments.front()?.clone();
-            if !self.read_on(&path).unwrap_or(false) {
+            if !self.read_chunk(&path).unwrap_or(false) {
                 self.segments.pop_front();
                 self.offset = 0;
             }
@@ -159,11 +161,12 @@
     }
 }
 
-/// The logs of a folder, by front and incarnation, and the files that hold none.
+/// Opens the logs of a folder, ordered by front and incarnation. Also returns the files that are not segments and those
+/// without a complete head.
 ///
 /// # Errors
 ///
-/// Where the folder can't be read.
+/// Fails if the folder can't be read.
 pub fn open_logs(folder: &Path) -> io::Result<(Vec<Log>, Damage)> {
     let mut segments: BTreeMap<FrontIncarnation, BTreeMap<u32, PathBuf>> = BTreeMap::new();
     let mut damage = Damage::default();
@@ -194,16 +197,17 @@
     Ok((segments.into_iter().map(log).collect(), damage))
 }
 
-/// Reads all logs of some folders, incarnation by incarnation.
+/// Reads all logs of several folders, folder by folder, and passes their records to `handle`, incarnation by
+/// incarnation.
 ///
 /// # Errors
 ///
-/// Where a folder can't be read.
+/// Fails if a folder can't be read.
 pub fn read_all(folders: &[PathBuf], mut handle: impl FnMut(Record)) -> io::Result<Damage> {
     let mut damage = Damage::default();
     for folder in folders {
-        let (logs, found) = open_logs(folder)?;
-        damage.merge(&found);
+        let (logs, folder_damage) = open_logs(folder)?;
+        damage.merge(&folder_damage);
         for mut log in logs {
             log.by_ref().for_each(&mut handle);
             damage.merge(log.damage());
--- a/crates/ochrelead-event-log/src/writer.rs
+++ b/crates/ochrelead-event-log/src/writer.rs
@@ -1,4 +1,5 @@
-//! Writing a log, off the sessions' path, with bounds on memory and disk.
+//! Writes a log on a separate thread, so that session handling never waits for the disk, within limits on memory and
+//! disk space.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -16,17 +17,17 @@
 /// The extension of a segment's file name.
 pub const EXTENSION: &str = "records";
 
-/// How many events are handed to the writing thread at once: each hand-over wakes it.
+/// Number of events that are passed to the writer thread at once, since each batch wakes the thread.
 const BATCH_LENGTH: usize = 128;
 
-/// The bounds of a log.
+/// The limits of a log.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Events that wait for the disk, in all.
+    /// Maximum number of events that are not written yet.
     pub max_queued_events: usize,
-    /// Bytes of one segment; a batch may pass it.
+    /// The length in bytes from which a segment gets no further batch. The last batch may exceed it.
     pub max_segment_bytes: u64,
-    /// Bytes of all segments of this front in the folder.
+    /// The limit in bytes on all segments of this front in the folder, over all incarnations.
     pub max_total_bytes: u64,
 }
 
@@ -36,26 +37,29 @@
     }
 }
 
-/// The log of one incarnation of a front. Dropping it waits until all is written, and ends the thread.
+/// Writes the log of one incarnation of a front. Dropping it blocks until all events are written and the writer thread
+/// has ended.
 pub struct Recorder {
     /// None once the recorder is being dropped.
     batches: Option<Sender<Vec<Event>>>,
     thread: Option<JoinHandle<()>>,
-    /// Events that have not been handed over yet.
+    /// Events that are not passed to the writer thread yet.
     pending: Vec<Event>,
-    /// How many events the thread still has to write.
+    /// Number of events that were passed to the writer thread and are not written yet.
     unwritten: Arc<AtomicUsize>,
     max_queued_events: usize,
     next_sequence: u64,
+    /// Number of dropped events that no `Lost` event has recorded yet.
     lost: u64,
 }
 
 impl Recorder {
-    /// Starts a log in a folder. `on_error` is called, once, with what goes wrong with the disk.
+    /// Starts a log in a folder and creates the folder if needed. `on_error` is called with the first disk error, after
+    /// which nothing more is written.
     ///
     /// # Errors
     ///
-    /// Where the folder can't be created or the thread can't be started.
+    /// Fails if the folder can't be created or the thread can't be started.
     pub fn start(
         folder: &Path,
         front: &str,
@@ -69,9 +73,9 @@
         let head = Head { version: VERSION, front: front.to_owned(), started_us, segment: 0 };
         let mut segments =
             SegmentWriter { folder: folder.to_owned(), head, bounds, file: None, file_length: 0 };
-        let written = unwritten.clone();
+        let thread_unwritten = unwritten.clone();
         let thread = thread::Builder::new().name("records".to_owned()).spawn(move || {
-            if let Err(error) = segments.run(&queue, &written) {
+            if let Err(error) = segments.run(&queue, &thread_unwritten) {
                 on_error(error);
             }
         })?;
@@ -86,8 +90,9 @@
         })
     }
 
-    /// Records an event; it never waits. Events that find no room are counted, and the count is recorded as soon as
-    /// there is room again. An event goes to the disk with the next [`Recorder::flush`], or when many are pending.
+    /// Records an event without blocking. If the queue is full, drops the event and counts it; the count is recorded as
+    /// a `Lost` event as soon as the queue has room again. An event is passed to the writer thread by the next
+    /// [`Recorder::flush`], or when a batch is complete.
     pub fn record(&mut self, at_us: u64, what: What) {
         if self.lost > 0 && self.try_push(at_us, What::Lost(self.lost)) {
             self.lost = 0;
@@ -111,17 +116,17 @@
         has_room
     }
 
-    /// Hands pending events to the thread.
+    /// Passes pending events to the writer thread.
     pub fn flush(&mut self) {
         let Some(batches) = self.batches.as_ref().filter(|_| !self.pending.is_empty()) else { return };
         let batch = std::mem::take(&mut self.pending);
         self.unwritten.fetch_add(batch.len(), Ordering::AcqRel);
-        // A log whose disk has failed takes nothing more; what is handed over stays counted, so that room runs out
-        // and all else is counted as lost. The front goes on.
+        // Sending fails if the writer thread has ended after a disk error. Events of failed batches stay counted in
+        // `unwritten`, so that the queue fills up and later events are counted as lost. The front continues to run.
         let _ = batches.send(batch);
     }
 
-    /// Events that found no room and are not recorded as lost yet.
+    /// Returns the number of dropped events that are not recorded as lost yet.
     pub fn unrecorded_losses(&self) -> u64 {
         self.lost
     }
@@ -137,6 +142,7 @@
     }
 }
 
+/// Writes batches of events to segments; runs on the writer thread.
 struct SegmentWriter {
     folder: PathBuf,
     head: Head,
@@ -184,11 +190,12 @@
         self.file = Some(file);
         self.file_length = bytes.len() as u64;
         self.head.segment += 1;
-        self.drop_oldest()
+        self.delete_oldest()
     }
 
-    /// Keeps the segments of this front, of all its incarnations, within the bound. The one in use stays.
-    fn drop_oldest(&self) -> io::Result<()> {
+    /// Deletes the oldest segments of this front, over all its incarnations, until a further full segment fits within
+    /// `max_total_bytes`. Never deletes the newest segment, which is being written.
+    fn delete_oldest(&self) -> io::Result<()> {
         let prefix = format!("{}-", self.head.front);
         let mut segments: Vec<(String, u64)> = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
--- a/crates/ochrelead-event-log/tests/stored_bytes.rs
+++ b/crates/ochrelead-event-log/tests/stored_bytes.rs
@@ -1,4 +1,5 @@
-//! A segment with one event of each kind, as written by an earlier program: it is read, and written again byte for byte.
+//! Compatibility with a stored segment of an earlier program version that has events of every kind: it is read
+//! correctly, and writing the same events gives the same bytes.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -40,8 +41,8 @@
     Denial::NoToken,
 ];
 
-/// Events of a session up to its INVITEs.
-fn first_events() -> Vec<What> {
+/// The events of a session up to its INVITEs, after those of the front's start.
+fn events_up_to_invites() -> Vec<What> {
     let (tried, server) = (|| "5f-2a".to_owned(), || "s1".to_owned());
     let mut events = vec![
         What::Life("start".to_owned()),
@@ -71,8 +72,8 @@
     events
 }
 
-/// Outcomes, answers and what concerns no session.
-fn last_events() -> Vec<What> {
+/// The outcomes of INVITEs and sessions, and events that belong to no session.
+fn events_after_invites() -> Vec<What> {
     let (tried, server) = (|| "5f-2a".to_owned(), || "s1".to_owned());
     let mut events = Vec::new();
     for ending in ENDINGS {
@@ -123,7 +124,7 @@
 }
 
 fn events() -> Vec<What> {
-    [first_events(), last_events()].concat()
+    [events_up_to_invites(), events_after_invites()].concat()
 }
 
 #[test]
@@ -135,20 +136,24 @@
     assert!(
         read.iter().all(|record| record.incarnation.front == "f1" && record.incarnation.started_us == 1_000)
     );
-    let moments: Vec<(u64, u64)> = read.iter().map(|record| (record.event.at_us, record.event.nth)).collect();
-    assert_eq!(moments, (0..read.len() as u64).map(|nth| (2_000 + nth, nth)).collect::<Vec<_>>());
+    let positions: Vec<(u64, u64)> =
+        read.iter().map(|record| (record.event.at_us, record.event.nth)).collect();
+    assert_eq!(
+        positions,
+        (0..read.len() as u64).map(|sequence| (2_000 + sequence, sequence)).collect::<Vec<_>>()
+    );
     let read: Vec<What> = read.into_iter().map(|record| record.event.what.unwrap()).collect();
     assert_eq!(read, events());
 }
 
 #[test]
-fn segment_is_written_as_it_was_stored() {
+fn same_events_are_written_byte_for_byte_as_stored() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("stored");
     let _ = fs::remove_dir_all(&folder);
     let mut recorder =
         Recorder::start(&folder, "f1", 1_000, Bounds::default(), |error| panic!("{error}")).unwrap();
-    for (nth, event) in events().into_iter().enumerate() {
-        recorder.record(2_000 + nth as u64, event);
+    for (sequence, event) in events().into_iter().enumerate() {
+        recorder.record(2_000 + sequence as u64, event);
     }
     drop(recorder);
     let written = fs::read(folder.join(SEGMENT)).unwrap();
