--- a/crates/ochrelead-check/src/main.rs
+++ b/crates/ochrelead-check/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `ochrelead-check`: checks settings, discovery files and scenarios with the code that reads them.
+//! The program `ochrelead-check`: validates front settings, fleet files and scenarios with the code that loads them.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -9,12 +9,13 @@
 use ochrelead_discovery::fleet;
 use ochrelead_discovery::watch;
 
-/// The exit code where something would be rejected.
+/// The exit code if a file would be rejected.
 const EXIT_REJECTED: u8 = 2;
 
-/// Reports all that a front or a rig would reject, with the code that reads it there, and warns of what is unusual.
+/// Validates files with the code that fronts and test runs load them with, reports all errors, and warns of unusual
+/// values.
 ///
-/// Exits with 0 where nothing would be rejected, otherwise with 2.
+/// Exits with 0 if no file would be rejected, otherwise with 2.
 #[derive(Parser)]
 #[command(
     version,
@@ -24,18 +25,18 @@
   ochrelead-check --day scenarios/bad-day.textproto"
 )]
 struct Arguments {
-    /// Settings of a front; a fleet is checked against their services
+    /// Settings of a front; fleet files are validated against its services
     #[arg(long, value_name = "FILE")]
     settings: Vec<PathBuf>,
-    /// A fleet file, or a folder of them
+    /// A fleet file, or a folder of fleet files
     #[arg(long, value_name = "PATH", requires = "settings")]
     fleet: Vec<PathBuf>,
-    /// A scenario
-    #[arg(long, value_name = "FILE")]
-    day: Vec<PathBuf>,
+    /// A scenario file
+    #[arg(id = "day", long = "day", value_name = "FILE")]
+    scenarios: Vec<PathBuf>,
 }
 
-/// What was found, a line each.
+/// The errors and warnings of all files, one line each.
 #[derive(Default)]
 struct Report {
     errors: Vec<String>,
@@ -43,10 +44,10 @@
 }
 
 impl Report {
-    /// The checked value; what is wrong with it is added to the errors.
-    fn accept<T>(&mut self, checked: Result<T, Vec<Diagnostic>>) -> Option<T> {
-        match checked {
-            Ok(checked) => Some(checked),
+    /// Returns the value if it was loaded; otherwise adds its diagnostics to the errors.
+    fn accept<T>(&mut self, loaded: Result<T, Vec<Diagnostic>>) -> Option<T> {
+        match loaded {
+            Ok(value) => Some(value),
             Err(diagnostics) => {
                 self.errors.extend(diagnostics.iter().map(ToString::to_string));
                 None
@@ -57,7 +58,7 @@
     fn check_fleet(&mut self, path: &Path, services: &[String]) {
         let files = watch::read_files(path);
         if files.is_empty() {
-            self.errors.push(format!("{}: no fleet file is there", path.display()));
+            self.errors.push(format!("{}: no fleet file found", path.display()));
             return;
         }
         if let Some(fleet) = self.accept(fleet::join(&files, services)) {
@@ -71,8 +72,8 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let mut report = Report::default();
-    if arguments.settings.is_empty() && arguments.day.is_empty() {
-        report.errors.push("nothing to check: name --settings or --day".to_owned());
+    if arguments.settings.is_empty() && arguments.scenarios.is_empty() {
+        report.errors.push("no file to check: --settings or --day is required".to_owned());
     }
     for path in &arguments.settings {
         if let Some(front) = report.accept(front_config::open(path)) {
@@ -81,7 +82,7 @@
             }
         }
     }
-    for path in &arguments.day {
+    for path in &arguments.scenarios {
         report.accept(scenario::open(path));
     }
     for warning in &report.warnings {
