--- a/crates/ochrelead-parquet/src/lib.rs
+++ b/crates/ochrelead-parquet/src/lib.rs
@@ -1,5 +1,5 @@
-//! Tables written as Parquet files. Rows are written in groups: memory does not grow with the table. The file appears
-//! under its name once it is whole.
+//! Writes tables as Parquet files. Rows are written in row groups, so that memory does not grow with the table. A file
+//! is written under a temporary name and renamed when it is complete.
 //!
 //! ```
 //! use ochrelead_parquet::{Cell, ColumnType, TableWriter};
@@ -27,7 +27,7 @@
 use parquet::file::writer::{SerializedColumnWriter, SerializedFileWriter};
 use parquet::schema::types::Type;
 
-/// Rows of one group.
+/// Number of rows of a row group.
 const ROWS_PER_GROUP: usize = 32_768;
 
 /// Why a table could not be written.
@@ -40,29 +40,29 @@
     /// The file could not be encoded.
     #[error(transparent)]
     Parquet(#[from] ParquetError),
-    /// The cells of a row are not those of the columns.
-    #[error("row {row}: its cells do not fit")]
+    /// The number or the types of a row's cells do not match the columns.
+    #[error("row {row}: number or types of cells do not match the columns")]
     RowMismatch {
-        /// The row, from 0.
+        /// The index of the row, counted from 0.
         row: usize,
     },
 }
 
-/// What a column holds. Each cell may be empty.
+/// The type of a column. Every column is nullable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ColumnType {
-    /// Text, in UTF-8.
+    /// UTF-8 text.
     Text,
-    /// A whole number of 64 bits.
+    /// A signed 64-bit integer.
     Integer,
-    /// A floating-point number of 64 bits.
+    /// A 64-bit floating-point number.
     Float,
 }
 
-/// One cell; it must be of its column's type, or empty.
+/// The value of a cell, which must have the type of its column or be empty.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Cell {
-    /// No value.
+    /// No value (null).
     Empty,
     /// A value of a text column.
     Text(String),
@@ -72,6 +72,7 @@
     Float(f64),
 }
 
+/// The buffered non-null values of a column.
 enum Values {
     Text(Vec<ByteArray>),
     Integer(Vec<i64>),
@@ -81,7 +82,7 @@
 /// The buffered rows of one column.
 struct Column {
     values: Values,
-    /// For each row 1 where it has a value, else 0.
+    /// The definition level of each row: 1 if it has a value, 0 if it is null.
     definition_levels: Vec<i16>,
 }
 
@@ -136,9 +137,9 @@
     Ok(())
 }
 
-/// A table that is being written.
+/// Writes a table to a Parquet file.
 pub struct TableWriter {
-    /// Where it is written until it is whole.
+    /// The path of the file until it is complete.
     partial_path: PathBuf,
     path: PathBuf,
     writer: SerializedFileWriter<File>,
@@ -147,11 +148,11 @@
 }
 
 impl TableWriter {
-    /// A table with these columns, by name and type.
+    /// Creates a table with these columns, given by name and type.
     ///
     /// # Errors
     ///
-    /// Where the file can't be created.
+    /// Fails if the file can't be created.
     pub fn create(path: &Path, columns: &[(&str, ColumnType)]) -> Result<TableWriter, TableError> {
         let fields = columns.iter().map(|(name, column_type)| field(name, *column_type));
         let fields = fields.collect::<Result<Vec<_>, _>>()?;
@@ -167,11 +168,11 @@
     ///
     /// # Errors
     ///
-    /// Where a cell does not fit its column, or the disk fails.
+    /// Fails if the number or types of the cells do not match the columns, or if the file can't be written.
     pub fn write_row(&mut self, cells: Vec<Cell>) -> Result<(), TableError> {
-        let fits = cells.len() == self.columns.len()
+        let matches_columns = cells.len() == self.columns.len()
             && cells.iter().zip(&self.columns).all(|(cell, column)| column.accepts(cell));
-        if !fits {
+        if !matches_columns {
             return Err(TableError::RowMismatch { row: self.rows });
         }
         for (cell, column) in cells.into_iter().zip(&mut self.columns) {
@@ -181,7 +182,7 @@
         if self.rows % ROWS_PER_GROUP == 0 { self.flush() } else { Ok(()) }
     }
 
-    /// Writes the buffered rows as a group.
+    /// Writes the buffered rows as a row group.
     fn flush(&mut self) -> Result<(), TableError> {
         if self.columns.first().is_none_or(|column| column.definition_levels.is_empty()) {
             return Ok(());
@@ -196,11 +197,11 @@
         Ok(())
     }
 
-    /// Ends the table and gives it its name. How many rows it has.
+    /// Completes the file and renames it to its final path. Returns the number of rows.
     ///
     /// # Errors
     ///
-    /// Where the disk fails; then a file that had the name before still has it.
+    /// Fails if the file can't be written or renamed; an earlier file at the final path then remains unchanged.
     pub fn finish(mut self) -> Result<usize, TableError> {
         self.flush()?;
         self.writer.close()?;
--- a/crates/ochrelead-parquet/tests/table.rs
+++ b/crates/ochrelead-parquet/tests/table.rs
@@ -1,4 +1,4 @@
-//! Tables are read again by the reader of the parquet crate.
+//! Tables that were written are read back with the reader of the parquet crate.
 
 use std::fs::File;
 use std::path::Path;
@@ -11,10 +11,10 @@
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
-#[test_case(0; "empty")]
-#[test_case(3; "one group")]
-#[test_case(70_000; "several groups")]
-fn all_rows_are_read_again(rows: i64) {
+#[test_case(0; "empty table")]
+#[test_case(3; "one row group")]
+#[test_case(70_000; "several row groups")]
+fn written_rows_are_read_back(rows: i64) {
     let file = path(&format!("{rows}.parquet"));
     let columns = [("name", ColumnType::Text), ("count", ColumnType::Integer), ("share", ColumnType::Float)];
     let mut table = TableWriter::create(&file, &columns).unwrap();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn row_that_does_not_fit_is_rejected_and_no_file_appears() {
+fn row_with_wrong_cell_type_is_rejected_and_target_file_is_not_created() {
     let file = path("unfit.parquet");
     let mut table = TableWriter::create(&file, &[("count", ColumnType::Integer)]).unwrap();
     assert!(table.write_row(vec![Cell::Text("one".to_owned())]).unwrap_err().to_string().contains("row 0"));
