--- a/crates/ochrelead-diagnosis/src/clocks/segments.rs
+++ b/crates/ochrelead-diagnosis/src/clocks/segments.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ochrelead_event_log::LINES;
+use ochrelead_event_log::LINE_REPORT_PREFIX;
 use ochrelead_event_log::reader::FrontIncarnation;
 use ochrelead_event_log::schema::{Event, event::What};
 
@@ -39,7 +39,7 @@
 
     /// The number of free lines that it reports.
     fn free_lines(&self) -> Option<u64> {
-        let (_, figures) = self.name.split_once(LINES)?;
+        let (_, figures) = self.name.split_once(LINE_REPORT_PREFIX)?;
         figures.split('/').next()?.parse().ok()
     }
 
--- a/crates/ochrelead-event-log/src/lib.rs
+++ b/crates/ochrelead-event-log/src/lib.rs
@@ -36,4 +36,4 @@
 pub const VERSION: u32 = 1;
 
 /// The prefix of the text that a `Told` event records for a server's report of its lines; `free/total` follows.
-pub const LINES: &str = "lines ";
+pub const LINE_REPORT_PREFIX: &str = "lines ";
--- a/crates/ochrelead-front/src/event_recording.rs
+++ b/crates/ochrelead-front/src/event_recording.rs
@@ -2,7 +2,7 @@
 
 use ochrelead_core::time::Span;
 use ochrelead_core::types::{BudgetGrant, DecisionReason, InviteOutcome, RejectionCause, RoutingChoice};
-use ochrelead_event_log::LINES;
+use ochrelead_event_log::LINE_REPORT_PREFIX;
 use ochrelead_event_log::schema::{self, event::What};
 
 use crate::engine::ServerReport;
@@ -20,7 +20,7 @@
         }
         EngineEvent::Lines { name, lines } => What::Told(schema::Told {
             server: name.clone(),
-            what: format!("{LINES}{}/{}", lines.free, lines.total),
+            what: format!("{LINE_REPORT_PREFIX}{}/{}", lines.free, lines.total),
         }),
         EngineEvent::EndpointsChanged(endpoints) => {
             let server = endpoints.iter().map(|server| server.endpoint.name.clone()).collect();
