--- a/crates/ochrelead-verify/src/event_queue.rs
+++ b/crates/ochrelead-verify/src/event_queue.rs
@@ -1,13 +1,13 @@
-//! The queue of a discrete event simulation.
+//! The event queue of a discrete-event simulation.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// An event and when it happens.
+/// An event and its time.
 #[derive(Clone, Debug)]
 struct Scheduled<E> {
     at_us: u64,
-    /// Events of the same time happen in the order in which they were scheduled.
+    /// Orders events of the same time: first scheduled, first returned.
     sequence: u64,
     event: E,
 }
@@ -32,14 +32,14 @@
     }
 }
 
-/// Reversed, so that the earliest event is the greatest.
+/// Reverses the order, because [`BinaryHeap`] is a max-heap and the earliest event comes first.
 impl<E> Ord for Scheduled<E> {
     fn cmp(&self, other: &Self) -> Ordering {
         other.key().cmp(&self.key())
     }
 }
 
-/// Events to come, on a virtual clock in microseconds.
+/// Pending events, ordered by virtual time in microseconds.
 #[derive(Clone, Debug)]
 pub(crate) struct EventQueue<E> {
     events: BinaryHeap<Scheduled<E>>,
@@ -56,7 +56,7 @@
         self.events.push(Scheduled { at_us, sequence: self.last_sequence, event });
     }
 
-    /// The next event and its time, where that is not after `until_us`.
+    /// Removes and returns the next event and its time, unless that time is after `until_us`.
     pub(crate) fn pop_until(&mut self, until_us: u64) -> Option<(u64, E)> {
         self.events.peek().filter(|next| next.at_us <= until_us)?;
         self.events.pop().map(|next| (next.at_us, next.event))
--- a/crates/ochrelead-verify/src/explore.rs
+++ b/crates/ochrelead-verify/src/explore.rs
@@ -1,11 +1,13 @@
-//! A model checker: goes through every order of a few events over the lease engines as they ship.
+//! A model checker: explores every interleaving of a bounded set of events over the lease engines as they ship.
 //!
-//! Events are messages delivered, duplicated or lost, time passing, engines processed, and fronts that restart, leave, or
-//! stall between a permit and its act. The search is complete to a depth, and goes through a state only once.
+//! Events are the delivery, duplication or loss of a message, the passage of time, an engine's processing of its
+//! expired timers, a front that restarts or leaves service, and a holder that stalls between its permit and the act
+//! under it. A message that is never delivered is lost. The search is exhaustive to a depth. It expands a state again
+//! only if it reaches it with more steps left than before.
 //!
-//! - [`Model`]: what happens, and how much of it.
-//! - `state`: the fronts and what is in flight; its steps and its invariants.
-//! - `search`: the search itself, on several threads.
+//! - [`Model`]: the fronts and the bounds on the number of events.
+//! - `state`: a state of the fronts and the network, its transitions and its invariants.
+//! - `search`: the multi-threaded search.
 
 mod search;
 mod state;
@@ -22,74 +24,76 @@
 use crate::violation::Violation;
 use state::State;
 
-/// The one task.
+/// The only task of the model.
 const TASK: TaskId = TaskId(1);
-/// One step of real time, in microseconds; a lease lasts four.
+/// Real time that passes in a [`Step::Tick`], in microseconds.
 const TICK_US: u64 = 1_000;
-/// Clocks are off by up to a fifth, so that a few steps of time show it.
+const LEASE_DURATION_US: u64 = 4 * TICK_US;
+const VOTE_TIMEOUT_US: u64 = 2 * TICK_US;
+/// Maximum clock drift in parts per million: a fifth, so that a few ticks are enough for drift to matter.
 const CLOCK_DRIFT_PPM: u32 = 200_000;
 
-/// What happens, and how much of it.
+/// The fronts of a model and the bounds on its events.
 #[derive(Clone, Debug)]
 pub struct Model {
-    /// The first fronts are voters.
+    /// Number of voters: the fronts with the lowest numbers.
     pub voters: u32,
-    /// The first fronts are candidates for the task.
+    /// Number of candidates for the task: the fronts with the lowest numbers.
     pub candidates: u32,
-    /// All fronts.
+    /// Number of fronts.
     pub fronts: u32,
-    /// How often time passes.
+    /// Maximum number of ticks of real time.
     pub ticks: u8,
-    /// How many fronts restart.
+    /// Maximum number of restarts.
     pub restarts: u8,
-    /// How many messages are duplicated.
+    /// Maximum number of duplicated messages.
     pub duplicates: u8,
-    /// How many holders leave.
+    /// Maximum number of times a holder leaves service.
     pub leaves: u8,
-    /// How many steps are taken from the start.
+    /// Maximum number of steps from the initial state.
     pub depth: u8,
-    /// What is wrong on purpose.
+    /// The deliberate fault, if any.
     pub mutation: Option<Mutation>,
 }
 
-/// One event. Fronts are named by their number, messages by their place in the order of those in flight.
+/// A transition. Fronts are identified by number, messages by their index in the sorted set of messages in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Time passes.
+    /// Real time advances by one tick.
     Tick,
-    /// A front processes what is due.
+    /// A front's engine processes its expired timers.
     Process(u32),
-    /// A message is delivered.
+    /// One copy of a message is delivered.
     Deliver(usize),
-    /// A message is delivered, and stays in flight.
+    /// A message is delivered, and as many copies as before stay in flight.
     Duplicate(usize),
     /// A front restarts.
     Restart(u32),
-    /// A front leaves service.
+    /// A holder leaves service.
     Leave(u32),
-    /// A front asks for a permit.
+    /// A holder obtains a permit for one act.
     Permit(u32),
-    /// A front acts on its permit.
+    /// A front performs the act for which it obtained a permit.
     Act(u32),
-    /// A front's clock is set back.
+    /// A holder's clock is set back.
     SetClockBack(u32),
 }
 
-/// A violation, and the steps that lead to it.
+/// A violated invariant and a path to it.
 #[derive(Clone, Debug)]
 pub struct Counterexample {
-    /// What does not hold.
+    /// The violated invariant.
     pub violation: Violation,
-    /// The steps from the start.
+    /// The steps from the initial state.
     pub steps: Vec<Step>,
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Clone, Debug)]
 pub struct Exploration {
-    /// How many different states were gone through.
+    /// Number of distinct states visited.
     pub states: u64,
-    /// The shortest counterexample that was seen.
+    /// The shortest of the counterexamples found before the search stopped.
     pub counterexample: Option<Counterexample>,
 }
 
@@ -100,8 +104,8 @@
 
     fn lease_config(&self) -> LeaseConfig {
         self.proxy().lease_config(LeaseConfig {
-            duration: Span::from_micros(4 * TICK_US),
-            vote_timeout: Span::from_micros(2 * TICK_US),
+            duration: Span::from_micros(LEASE_DURATION_US),
+            vote_timeout: Span::from_micros(VOTE_TIMEOUT_US),
             clock_drift_ppm: CLOCK_DRIFT_PPM,
             jitter: Span::ZERO,
         })
@@ -120,12 +124,12 @@
     }
 }
 
-/// Takes steps from the start.
+/// Applies steps to the initial state.
 ///
 /// # Errors
 ///
-/// The violation that the steps lead to.
+/// Returns the first violation on the path.
 pub fn replay(model: &Model, steps: &[Step]) -> Result<(), Violation> {
-    let mut state = State::start(model);
-    steps.iter().try_for_each(|step| state.step(model, *step))
+    let mut state = State::initial(model);
+    steps.iter().try_for_each(|step| state.apply(model, *step))
 }
--- a/crates/ochrelead-verify/src/explore/search.rs
+++ b/crates/ochrelead-verify/src/explore/search.rs
@@ -1,4 +1,4 @@
-//! The search: breadth first until there is work for all threads, then depth first on each of them.
+//! The search: breadth first until there are enough paths to share among the threads, then depth first from each path.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -8,17 +8,17 @@
 use super::state::State;
 use super::{Counterexample, Exploration, Model, Step};
 
-/// The visited states are split into so many locked maps.
+/// Number of separately locked maps that hold the visited states.
 const SHARDS: u64 = 256;
-/// So many beginnings are shared among the threads.
-const MIN_BEGINNINGS: usize = 300;
+/// Number of paths from which the threads start, unless the depth or the state space is too small.
+const MIN_INITIAL_PATHS: usize = 300;
 
-/// Threads that panic end the whole search; what they leave behind is consistent.
+/// Ignores poisoning: a panic in one thread ends the whole search, and the guarded data is consistent at every panic.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The fingerprints of visited states, and how many steps were left then.
+/// The fingerprints of visited states, each with the largest number of steps left on a visit.
 struct VisitedStates {
     shards: Vec<Mutex<HashMap<u64, u8>>>,
     count: AtomicU64,
@@ -34,7 +34,8 @@
         self.count.load(Ordering::Relaxed)
     }
 
-    /// Whether the state has to be gone through: it is new, or there are more steps left than before.
+    /// Records a visit. Returns whether the state has to be expanded: it is new, or all earlier visits had fewer
+    /// steps left.
     fn visit(&self, fingerprint: u64, steps_left: u8) -> bool {
         let mut shard = lock(&self.shards[(fingerprint % SHARDS) as usize]);
         match shard.get(&fingerprint) {
@@ -50,7 +51,7 @@
     }
 }
 
-/// A state and the steps to it.
+/// A state and the steps that lead to it.
 struct Path {
     state: State,
     steps: Vec<Step>,
@@ -60,32 +61,32 @@
     model: &'a Model,
     visited: VisitedStates,
     max_states: u64,
-    is_over: AtomicBool,
+    is_stopped: AtomicBool,
     counterexample: Mutex<Option<Counterexample>>,
 }
 
 impl Search<'_> {
     fn steps_left(&self, steps: &[Step]) -> u8 {
-        let taken = u8::try_from(steps.len()).expect("no more than the depth");
+        let taken = u8::try_from(steps.len()).expect("a path is at most as long as the depth");
         self.model.depth - taken
     }
 
-    /// Goes through all states that follow.
-    fn descend(&self, state: &State, steps: &mut Vec<Step>) {
+    /// Searches all successors of a state depth first.
+    fn search_depth_first(&self, state: &State, steps: &mut Vec<Step>) {
         let steps_left = self.steps_left(steps);
-        if steps_left == 0 || self.is_over.load(Ordering::Relaxed) {
+        if steps_left == 0 || self.is_stopped.load(Ordering::Relaxed) {
             return;
         }
-        for step in state.possible_steps(self.model) {
+        for step in state.enabled_steps(self.model) {
             let mut next = state.clone();
             steps.push(step);
-            match next.step(self.model, step) {
+            match next.apply(self.model, step) {
                 Err(violation) => self.report(Counterexample { violation, steps: steps.clone() }),
                 Ok(()) => {
                     if self.visited.count() >= self.max_states {
-                        self.is_over.store(true, Ordering::Relaxed);
+                        self.is_stopped.store(true, Ordering::Relaxed);
                     } else if self.visited.visit(next.fingerprint(), steps_left - 1) {
-                        self.descend(&next, steps);
+                        self.search_depth_first(&next, steps);
                     }
                 }
             }
@@ -93,22 +94,23 @@
         }
     }
 
-    fn report(&self, found: Counterexample) {
+    /// Keeps the counterexample if it is the shortest so far, and stops the search.
+    fn report(&self, counterexample: Counterexample) {
         let mut shortest = lock(&self.counterexample);
-        if shortest.as_ref().is_none_or(|known| known.steps.len() > found.steps.len()) {
-            *shortest = Some(found);
+        if shortest.as_ref().is_none_or(|current| current.steps.len() > counterexample.steps.len()) {
+            *shortest = Some(counterexample);
         }
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
     }
 
-    /// The states one step further.
-    fn widen(&self, paths: &[Path]) -> Result<Vec<Path>, Exploration> {
+    /// Extends each path by one step, in all ways that lead to a state to be expanded.
+    fn extend(&self, paths: &[Path]) -> Result<Vec<Path>, Exploration> {
         let mut longer = Vec::new();
         for path in paths {
-            for step in path.state.possible_steps(self.model) {
+            for step in path.state.enabled_steps(self.model) {
                 let (mut state, mut steps) = (path.state.clone(), path.steps.clone());
                 steps.push(step);
-                if let Err(violation) = state.step(self.model, step) {
+                if let Err(violation) = state.apply(self.model, step) {
                     let counterexample = Some(Counterexample { violation, steps });
                     return Err(Exploration { states: longer.len() as u64, counterexample });
                 }
@@ -120,26 +122,27 @@
         Ok(longer)
     }
 
-    fn beginnings(&self) -> Result<Vec<Path>, Exploration> {
-        let mut beginnings = vec![Path { state: State::start(self.model), steps: Vec::new() }];
+    /// Searches breadth first for the paths from which the threads start.
+    fn initial_paths(&self) -> Result<Vec<Path>, Exploration> {
+        let mut paths = vec![Path { state: State::initial(self.model), steps: Vec::new() }];
         let depth = usize::from(self.model.depth);
-        while beginnings.len() < MIN_BEGINNINGS && beginnings[0].steps.len() + 2 < depth {
-            let longer = self.widen(&beginnings)?;
+        while paths.len() < MIN_INITIAL_PATHS && paths[0].steps.len() + 2 < depth {
+            let longer = self.extend(&paths)?;
             if longer.is_empty() {
                 break;
             }
-            beginnings = longer;
+            paths = longer;
         }
-        Ok(beginnings)
+        Ok(paths)
     }
 
     fn run(&self, threads: usize) -> Result<(), Exploration> {
-        let beginnings = Mutex::new(self.beginnings()?);
+        let paths = Mutex::new(self.initial_paths()?);
         let work = || {
             loop {
-                let beginning = lock(&beginnings).pop();
-                let Some(Path { state, mut steps }) = beginning else { return };
-                self.descend(&state, &mut steps);
+                let path = lock(&paths).pop();
+                let Some(Path { state, mut steps }) = path else { return };
+                self.search_depth_first(&state, &mut steps);
             }
         };
         thread::scope(|scope| {
@@ -151,17 +154,17 @@
     }
 }
 
-/// Goes through all orders of events to the model's depth, or until something does not hold, or through `max_states`.
+/// Explores all interleavings to the model's depth. Stops early at a violation or after `max_states` distinct states.
 pub fn explore(model: &Model, max_states: u64, threads: usize) -> Exploration {
     let search = Search {
         model,
         visited: VisitedStates::new(),
         max_states,
-        is_over: AtomicBool::new(false),
+        is_stopped: AtomicBool::new(false),
         counterexample: Mutex::new(None),
     };
-    if let Err(early) = search.run(threads) {
-        return early;
+    if let Err(exploration) = search.run(threads) {
+        return exploration;
     }
     let counterexample = search.counterexample.into_inner().unwrap_or_else(PoisonError::into_inner);
     Exploration { states: search.visited.count(), counterexample }
--- a/crates/ochrelead-verify/src/explore/state.rs
+++ b/crates/ochrelead-verify/src/explore/state.rs
@@ -1,4 +1,5 @@
-//! One state of the model: its fronts, what is in flight, the steps that can be taken, and what must hold after each.
+//! A state of the model: the fronts and the messages in flight, the enabled steps, and the invariants checked after
+//! each.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -15,10 +16,12 @@
 use crate::resource::{Act, ActOutcome, Resource};
 use crate::violation::Violation;
 
-/// The time at the start.
+/// Real time in the initial state, in microseconds.
 const START_US: u64 = 1_000 * TICK_US;
+/// How far [`Step::SetClockBack`] sets a clock back, in microseconds.
+const CLOCK_SET_BACK_US: u64 = 2 * TICK_US;
 
-/// A permit that was asked for and not acted on yet.
+/// A permit that was obtained and not yet used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingAct {
     permit: Permit,
@@ -26,7 +29,7 @@
     lease: u64,
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct InFlight {
     sender: MemberId,
@@ -34,7 +37,7 @@
     message: Message,
 }
 
-/// How much may still happen.
+/// The number of events of each kind that may still occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Remaining {
     ticks: u8,
@@ -47,39 +50,40 @@
 struct FrontState {
     engine: Engine,
     incarnation: u32,
-    /// How far the clock was set back, in microseconds.
+    /// Total set-back of the clock, in microseconds.
     set_back_us: u64,
     pending_act: Option<PendingAct>,
-    /// The lease that it holds, in the order in which they began.
+    /// The lease that the front holds; leases are numbered in the order in which they begin.
     lease: Option<u64>,
-    /// Its last vote round.
+    /// The round of the front's latest vote request.
     last_round: u64,
 }
 
 #[derive(Clone)]
 pub(super) struct State {
     fronts: Vec<FrontState>,
-    /// The messages on their way, and how many copies of each.
+    /// The messages in flight and the number of copies of each.
     in_flight: BTreeMap<InFlight, u8>,
     real_time_us: u64,
-    /// How many leases have begun.
+    /// Number of leases begun so far.
     leases: u64,
     resource: Resource,
     remaining: Remaining,
 }
 
-/// A front's own clock without set-backs: even fronts are as slow as allowed, odd ones as fast.
-fn drifting_clock(front: u32, real_time_us: u64) -> u64 {
+/// The reading of a front's clock without set-backs, in microseconds. Clocks of even-numbered fronts are slow and
+/// those of odd-numbered fronts fast, each by the maximum drift.
+fn drifting_clock_us(front: u32, real_time_us: u64) -> u64 {
     let elapsed = real_time_us - START_US;
     let drift = elapsed * u64::from(CLOCK_DRIFT_PPM) / 1_000_000;
     START_US + if front % 2 == 0 { elapsed - drift } else { elapsed + drift }
 }
 
 impl State {
-    pub(super) fn start(model: &Model) -> State {
+    pub(super) fn initial(model: &Model) -> State {
         let persisted = PersistedState::default();
-        let front = |front: u32| {
-            let now = Moment::from_micros(drifting_clock(front, START_US));
+        let initial_front = |front: u32| {
+            let now = Moment::from_micros(drifting_clock_us(front, START_US));
             let local = MemberId { front, incarnation: 1 };
             FrontState {
                 engine: model.engine(local, Some(&persisted), now),
@@ -91,7 +95,7 @@
             }
         };
         State {
-            fronts: (0..model.fronts).map(front).collect(),
+            fronts: (0..model.fronts).map(initial_front).collect(),
             in_flight: BTreeMap::new(),
             real_time_us: START_US,
             leases: 0,
@@ -113,17 +117,17 @@
         &mut self.fronts[front as usize]
     }
 
-    /// The time by a front's own clock.
+    /// The reading of a front's clock.
     fn clock(&self, front: u32) -> Moment {
-        Moment::from_micros(drifting_clock(front, self.real_time_us) - self.front(front).set_back_us)
+        Moment::from_micros(drifting_clock_us(front, self.real_time_us) - self.front(front).set_back_us)
     }
 
     fn permit(&self, front: u32) -> Option<Permit> {
         self.front(front).engine.permit(self.clock(front), TASK)
     }
 
-    /// All steps that can be taken.
-    pub(super) fn possible_steps(&self, model: &Model) -> Vec<Step> {
+    /// The steps that are enabled in this state.
+    pub(super) fn enabled_steps(&self, model: &Model) -> Vec<Step> {
         let mut steps = Vec::new();
         if self.remaining.ticks > 0 {
             steps.push(Step::Tick);
@@ -151,6 +155,7 @@
         steps
     }
 
+    /// Adds the steps that only a candidate can take.
     fn add_candidate_steps(&self, front: u32, model: &Model, steps: &mut Vec<Step>) {
         let state = self.front(front);
         let is_holder = self.permit(front).is_some();
@@ -168,12 +173,12 @@
         }
     }
 
-    /// Takes a step.
+    /// Applies a step and checks the invariants.
     ///
     /// # Errors
     ///
-    /// Where something does not hold after it.
-    pub(super) fn step(&mut self, model: &Model, step: Step) -> Result<(), Violation> {
+    /// Returns the invariant that the step violates.
+    pub(super) fn apply(&mut self, model: &Model, step: Step) -> Result<(), Violation> {
         match step {
             Step::Tick => {
                 self.remaining.ticks -= 1;
@@ -196,7 +201,7 @@
                 self.front_mut(front).engine.leave(now);
                 self.send_output(front);
             }
-            Step::SetClockBack(front) => self.front_mut(front).set_back_us = 2 * TICK_US,
+            Step::SetClockBack(front) => self.front_mut(front).set_back_us = CLOCK_SET_BACK_US,
             Step::Permit(front) => {
                 let (permit, state) = (self.permit(front), self.front_mut(front));
                 let (member, lease) = (state.engine.local(), state.lease.unwrap_or(0));
@@ -207,6 +212,7 @@
         self.check_holders(model)
     }
 
+    /// Puts a front's outgoing messages in flight.
     fn send_output(&mut self, front: u32) {
         let state = &mut self.fronts[front as usize];
         let sender = state.engine.local();
@@ -218,13 +224,15 @@
         }
     }
 
-    fn deliver(&mut self, model: &Model, index: usize, is_last_copy: bool) {
+    /// Delivers a message to its recipient. Unless `removes_copy`, the copy also stays in flight.
+    fn deliver(&mut self, model: &Model, index: usize, removes_copy: bool) {
         let in_flight = self.in_flight.iter().nth(index);
-        let (packet, copies) =
-            in_flight.map(|(packet, copies)| (packet.clone(), *copies)).expect("a step names one");
-        if is_last_copy && copies > 1 {
+        let (packet, copies) = in_flight
+            .map(|(packet, copies)| (packet.clone(), *copies))
+            .expect("an enabled step refers to a message in flight");
+        if removes_copy && copies > 1 {
             self.in_flight.insert(packet.clone(), copies - 1);
-        } else if is_last_copy {
+        } else if removes_copy {
             self.in_flight.remove(&packet);
         }
         let InFlight { sender, recipient, message } = packet;
@@ -260,13 +268,14 @@
         Ok(())
     }
 
-    /// At no moment two fronts may act, each by its own clock. Numbers leases as they begin.
+    /// Checks that no two fronts may act at the same real time, each front judging by its own clock. Numbers leases
+    /// as they begin.
     fn check_holders(&mut self, model: &Model) -> Result<(), Violation> {
         let mut holders = Vec::new();
         for front in 0..model.candidates {
             let (now, is_holder) = (self.clock(front), self.permit(front).is_some());
             let state = &mut self.fronts[front as usize];
-            let acts_on = model.mutation == Some(Mutation::ActsAfterRelease)
+            let acts_after_release = model.mutation == Some(Mutation::ActsAfterRelease)
                 && state.pending_act.is_some_and(|pending| now < pending.permit.expires_at);
             match (is_holder, state.lease) {
                 (true, None) => {
@@ -276,14 +285,14 @@
                 (false, Some(_)) => state.lease = None,
                 _ => {}
             }
-            if is_holder || acts_on {
+            if is_holder || acts_after_release {
                 holders.push(front);
             }
         }
         if holders.len() > 1 { Err(Violation::ConcurrentHolders { fronts: holders }) } else { Ok(()) }
     }
 
-    /// States with the same fingerprint have the same future.
+    /// A hash of everything that determines which states can follow.
     pub(super) fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for front in &self.fronts {
--- a/crates/ochrelead-verify/src/mutation.rs
+++ b/crates/ochrelead-verify/src/mutation.rs
@@ -1,7 +1,7 @@
-//! Deliberate mutations, as in mutation testing: each verification has to find them.
+//! Deliberate faults, as in mutation testing: each mutation has to be detected by a verification.
 //!
-//! They are made around the engine and never in it: in its configuration, in the messages that it receives, or by
-//! whoever acts or is acted upon.
+//! Mutations apply around the lease engine and never inside it: to its configuration, to the messages that it
+//! receives, to the acts of holders, or to the checks of the resource.
 
 use ochrelead_core::time::Span;
 use ochrelead_lease::electorate::Electorate;
@@ -15,53 +15,53 @@
 pub enum Mutation {
     /// A voter that restarts without persisted state votes at once.
     AbstentionSkipped,
-    /// Clocks are taken to run at the same rate.
+    /// The engines assume that all clocks run at the same rate.
     ClockDriftIgnored,
-    /// One vote is enough.
+    /// A single vote grants a lease: each front is the only voter of its electorate.
     MinorityGrants,
-    /// Some fronts already have another electorate, without a joint generation between.
+    /// Odd-numbered fronts have a new electorate, without a joint generation between the old and the new one.
     ElectorateSwitchedAtOnce,
-    /// Whoever is acted upon checks no token.
+    /// The resource does not check tokens.
     TokenNotChecked,
     /// All holders have the same token.
     TokenNotRaised,
-    /// A withdrawal ends promises of later rounds too.
+    /// The withdrawal of a vote also cancels promises of later rounds.
     WithdrawalOutOfOrder,
-    /// A granted vote counts for whatever round is open.
+    /// A vote that was granted in an earlier round counts in the current one.
     LateGrantCounted,
-    /// A voter promises half of the requested duration.
+    /// A voter's promise lasts for half of the requested duration.
     PromiseCutShort,
-    /// A front that restarts is taken for its former incarnation.
+    /// A restarted front has the same incarnation as before.
     IncarnationsConfused,
-    /// The holder counts from later than it asked.
+    /// The holder counts the lease duration from the voters' answers instead of from its request.
     CountedFromAnswer,
     /// A holder's clock can be set back.
     ClockSetBack,
-    /// One voter's grant counts as that of three others too.
+    /// One voter's grant counts as a grant of each of fronts 0, 1 and 2 too.
     VoteCountedTwice,
-    /// A holder that released its lease goes on acting.
+    /// A holder still acts after it released its lease.
     ActsAfterRelease,
-    /// A promise is sent before it is on disk.
+    /// A promise is sent before it is persisted.
     SentBeforePersisted,
 }
 
-/// A message and its sender, as they reach an engine.
+/// A message and its sender, as an engine receives them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Delivery {
-    /// Who is said to have sent it.
+    /// The sender that the message claims.
     pub sender: MemberId,
-    /// What arrives.
+    /// The message as received.
     pub message: Message,
 }
 
-/// Stands between an engine and its surroundings, and passes everything on as it is, except for one mutation.
+/// Passes configuration, messages and acts between an engine and its environment, and applies at most one mutation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FaultyProxy {
     mutation: Option<Mutation>,
 }
 
 impl FaultyProxy {
-    /// A proxy with a mutation; without one it changes nothing.
+    /// Creates a proxy. Without a mutation it changes nothing.
     pub fn new(mutation: Option<Mutation>) -> FaultyProxy {
         FaultyProxy { mutation }
     }
@@ -70,7 +70,7 @@
         self.mutation == Some(mutation)
     }
 
-    /// The configuration that a front gets.
+    /// The lease configuration of a front.
     pub fn lease_config(&self, config: LeaseConfig) -> LeaseConfig {
         if self.has(Mutation::ClockDriftIgnored) {
             LeaseConfig { clock_drift_ppm: 0, ..config }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The electorate that a front gets.
+    /// The electorate that a front uses.
     pub fn electorate(&self, front: u32, fleet_size: u32, electorate: &Electorate) -> Electorate {
         match self.mutation {
             Some(Mutation::MinorityGrants) => Electorate::new(electorate.generation, &[front]),
@@ -91,22 +91,24 @@
         }
     }
 
-    /// The incarnation that a front believes to be.
+    /// The incarnation that a front takes for its own.
     pub fn incarnation(&self, incarnation: u32) -> u32 {
         if self.has(Mutation::IncarnationsConfused) { 1 } else { incarnation }
     }
 
-    /// What a voter that restarts finds on disk beside what it persisted.
+    /// The state that a restarting voter reads instead of the one that it persisted; none if the mutation leaves it
+    /// alone.
     pub fn persisted_state(&self) -> Option<PersistedState> {
         self.has(Mutation::AbstentionSkipped).then(PersistedState::default)
     }
 
-    /// How much later than its clock says a holder believes to have asked.
+    /// Delay that is added to the time at which an engine processes its timers, and so to the start of a lease.
     pub fn processing_delay(&self, config: &LeaseConfig) -> Span {
         if self.has(Mutation::CountedFromAnswer) { config.vote_timeout } else { Span::ZERO }
     }
 
-    /// What arrives of a message; `last_round` is the recipient's last vote round.
+    /// The messages that a recipient receives for one that was sent; `last_round` is the recipient's latest vote
+    /// round.
     pub fn deliver(&self, sender: MemberId, message: &Message, last_round: u64) -> Vec<Delivery> {
         let mut message = message.clone();
         match (self.mutation, &mut message) {
@@ -128,7 +130,7 @@
         vec![Delivery { sender, message }]
     }
 
-    /// Whether whoever is acted upon checks tokens.
+    /// Whether the resource checks tokens.
     pub fn checks_tokens(&self) -> bool {
         !self.has(Mutation::TokenNotChecked)
     }
--- a/crates/ochrelead-verify/src/resource.rs
+++ b/crates/ochrelead-verify/src/resource.rs
@@ -1,34 +1,35 @@
-//! The resource that holders act upon. It remembers the highest token and refuses lower ones, and checks the order of the
-//! acts that it accepts.
+//! A resource protected by fencing tokens. An act is one use of the resource by a lease holder, under the token of
+//! its lease. The resource remembers the highest token and refuses lower ones, and checks the order of the acts it
+//! accepts.
 
 use ochrelead_lease::{FencingToken, MemberId};
 
 use crate::violation::Violation;
 
-/// An act as it reached the resource.
+/// An act as it reaches the resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Act {
-    /// Who acted.
+    /// The front and incarnation that acted.
     pub member: MemberId,
     /// The token that the act carries.
     pub token: FencingToken,
-    /// The lease under which it acted, numbered in the order in which all leases began.
+    /// The lease under which the member acted; leases are numbered in the order in which they begin.
     pub lease: u64,
 }
 
-/// What became of an act.
+/// The resource's response to an act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ActOutcome {
-    /// It took effect.
+    /// The act took effect.
     Accepted,
-    /// It was refused for a higher token that the resource has seen.
+    /// The act was refused because the resource has seen a higher token.
     Refused {
-        /// The highest token seen.
+        /// The highest token that the resource has seen.
         highest: FencingToken,
     },
 }
 
-/// A resource, and what it remembers.
+/// A resource protected by fencing tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Resource {
     highest: Option<FencingToken>,
@@ -36,11 +37,11 @@
 }
 
 impl Resource {
-    /// Accepts or refuses an act; without `checks_tokens` it accepts all.
+    /// Accepts or refuses an act. Without `checks_tokens`, accepts acts with any token.
     ///
     /// # Errors
     ///
-    /// Where the act of a former holder would be accepted after one of its successor.
+    /// Returns [`Violation::StaleAct`] if an act of a former holder would be accepted after an act of its successor.
     pub fn act(&mut self, act: Act, checks_tokens: bool) -> Result<ActOutcome, Violation> {
         if checks_tokens && let Some(highest) = self.highest.filter(|highest| act.token < *highest) {
             return Ok(ActOutcome::Refused { highest });
--- a/crates/ochrelead-verify/src/violation.rs
+++ b/crates/ochrelead-verify/src/violation.rs
@@ -1,25 +1,25 @@
-//! What verification finds: an invariant that does not hold.
+//! Violations of the lease invariants.
 
 use thiserror::Error;
 
 use crate::resource::Act;
 
-/// An invariant of leases that was violated.
+/// A violated lease invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum Violation {
     /// Two fronts hold a permit for the same task at the same time.
     #[error("{fronts:?} may act at once")]
     ConcurrentHolders {
-        /// All fronts that may act.
+        /// The fronts that hold a permit.
         fronts: Vec<u32>,
     },
     /// A former holder's act was accepted after an act of its successor.
     #[error("{act:?} acted after {last:?}, whose lease began later")]
     StaleAct {
-        /// The act in question.
+        /// The act of the former holder.
         act: Act,
-        /// The act that was accepted before it.
+        /// The act of the successor, accepted before it.
         last: Act,
     },
 }
