--- a/crates/ochrelead-verify/src/cluster/fault_run.rs
+++ b/crates/ochrelead-verify/src/cluster/fault_run.rs
@@ -43,14 +43,14 @@
     }
 }
 
-/// The name in the program's output.
+/// The name in the program's output; where it names no front, the fault is one of the holder.
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Fault::HolderKilled => "holder killed",
-            Fault::HolderPaused => "holder paused",
-            Fault::HolderLeaves => "holder leaves service",
-            Fault::HolderCutOff => "holder partitioned",
+            Fault::HolderKilled => "killed",
+            Fault::HolderPaused => "paused",
+            Fault::HolderLeaves => "leaves service",
+            Fault::HolderCutOff => "partitioned",
             Fault::FrontRestarts => "front restarted",
             Fault::VotersRestart => "voters restarted",
         })
--- a/crates/ochrelead-verify/src/commands.rs
+++ b/crates/ochrelead-verify/src/commands.rs
@@ -1,29 +1,29 @@
-//! The program's subcommands: each runs one kind of verification, and prints what came of it.
+//! The program's subcommands. Each runs one kind of verification and prints the result.
 
 pub(crate) mod cluster;
 pub(crate) mod costs;
-pub(crate) mod districts;
 pub(crate) mod explore;
 pub(crate) mod seeds;
 pub(crate) mod soak;
+pub(crate) mod zones;
 
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::thread;
 
-/// How many threads to use.
-pub(crate) fn cores() -> usize {
+/// Number of threads to run, one for each available core.
+pub(crate) fn thread_count() -> usize {
     thread::available_parallelism().map_or(1, usize::from)
 }
 
-/// Something that was run for each of several seeds.
+/// The result of the run of one seed.
 pub(crate) struct Seeded<T> {
     pub(crate) seed: u64,
     pub(crate) result: T,
 }
 
-/// Runs something for each seed, on all cores. Returns the results in the order of the seeds.
+/// Calls `run` for each seed, on all cores. Returns the results in the order of the seeds.
 pub(crate) fn run_seeds<T: Send>(seeds: Range<u64>, run: impl Fn(u64) -> T + Sync) -> Vec<Seeded<T>> {
     let (next, results) = (AtomicU64::new(seeds.start), Mutex::new(Vec::new()));
     let work = || {
@@ -37,7 +37,7 @@
         }
     };
     thread::scope(|scope| {
-        for _ in 0..cores() {
+        for _ in 0..thread_count() {
             scope.spawn(work);
         }
     });
--- a/crates/ochrelead-verify/src/commands/costs.rs
+++ b/crates/ochrelead-verify/src/commands/costs.rs
@@ -1,4 +1,4 @@
-//! `costs`: what coordination costs, and how soon a lease is held again after each fault.
+//! `costs`: the cost of coordination, and the time without a lease holder after each fault.
 
 use std::process::ExitCode;
 
@@ -6,11 +6,12 @@
 
 use super::run_seeds;
 
-/// The seed of the scenarios without a fault; those with one have seeds of their own.
+/// Seed of the scenarios without a fault.
 const COST_SEED: u64 = 1;
+/// Seed of the first repetition of each fault; later repetitions count up from it.
 const FIRST_FAULT_SEED: u64 = 100;
 
-pub(crate) fn run(fronts: u32, servers: u32, duration_secs: u64, times: u64) -> ExitCode {
+pub(crate) fn run(fronts: u32, servers: u32, duration_secs: u64, repetitions: u64) -> ExitCode {
     let scenario = Scenario {
         fronts,
         servers,
@@ -24,7 +25,11 @@
     print_costs(scenario.clone());
     print_costs(Scenario { servers_answer: false, ..scenario.clone() });
     for fault in Fault::ALL {
-        print_gaps(&Scenario { servers_answer: false, fault: Some(fault), ..scenario.clone() }, fault, times);
+        print_gaps(
+            &Scenario { servers_answer: false, fault: Some(fault), ..scenario.clone() },
+            fault,
+            repetitions,
+        );
     }
     ExitCode::SUCCESS
 }
@@ -34,11 +39,11 @@
     let costs = fleet::run(scenario);
     let rate = |count: u64| count as f64 / costs.secs;
     println!(
-        "{fronts} fronts, {servers} silent servers that {}, {}: datagrams a second {:.2} each, {:.0} in all; bytes \
-         a second {:.0} each, {:.0} in all; tests a second under a lease {:.2}, by fronts for themselves {:.1}; \
-         processor {:.2} ms a second each",
-        if servers_answer { "answer tests" } else { "answer nothing" },
-        if is_coordinated { "together" } else { "alone" },
+        "{fronts} fronts, {servers} silent servers that {}, {}: datagrams/s {:.2} per front, {:.0} \
+         in total; bytes/s {:.0} per front, {:.0} in total; health checks/s {:.2} under a lease, {:.1} by fronts \
+         individually; CPU {:.2} ms/s per front",
+        if servers_answer { "answer health checks" } else { "answer no health checks" },
+        if is_coordinated { "coordinated" } else { "uncoordinated" },
         rate(costs.datagrams) / f64::from(fronts),
         rate(costs.datagrams),
         rate(costs.bytes) / f64::from(fronts),
@@ -49,15 +54,15 @@
     );
 }
 
-fn print_gaps(scenario: &Scenario, fault: Fault, times: u64) {
+fn print_gaps(scenario: &Scenario, fault: Fault, repetitions: u64) {
     let gap_ms = |index: u64| {
         let (seed, duration_secs) = (FIRST_FAULT_SEED + index, 20 + index % 4);
         fleet::run(Scenario { seed, duration_secs, ..scenario.clone() }).gap_ms.unwrap_or(u64::MAX)
     };
-    let mut gaps: Vec<u64> = run_seeds(0..times, gap_ms).into_iter().map(|gap| gap.result).collect();
+    let mut gaps: Vec<u64> = run_seeds(0..repetitions, gap_ms).into_iter().map(|gap| gap.result).collect();
     gaps.sort_unstable();
     println!(
-        "{fault}: without a holder, ms: median {:?}, worst of {times} {:?}",
+        "{fault}: without a holder, ms: median {:?}, longest of {repetitions} {:?}",
         gaps.get(gaps.len() / 2),
         gaps.last()
     );
--- a/crates/ochrelead-verify/src/commands/explore.rs
+++ b/crates/ochrelead-verify/src/commands/explore.rs
@@ -5,22 +5,22 @@
 
 use ochrelead_verify::explore::{Model, explore};
 
-use super::cores;
+use super::thread_count;
 
 pub(crate) fn run(model: &Model, max_states: u64) -> ExitCode {
     let started = Instant::now();
-    let exploration = explore(model, max_states, cores());
-    let whole = if exploration.states >= max_states { "stopped there" } else { "complete" };
+    let exploration = explore(model, max_states, thread_count());
+    let extent = if exploration.states >= max_states { "stopped there" } else { "complete" };
     println!(
-        "{} states to depth {}, {whole}, {:.1} s",
+        "{} states to depth {}, {extent}, {:.1} s",
         exploration.states,
         model.depth,
         started.elapsed().as_secs_f64()
     );
     match exploration.counterexample {
         None => ExitCode::SUCCESS,
-        Some(found) => {
-            println!("found: {}\n{:?}", found.violation, found.steps);
+        Some(counterexample) => {
+            println!("found: {}\n{:?}", counterexample.violation, counterexample.steps);
             ExitCode::FAILURE
         }
     }
--- a/crates/ochrelead-verify/src/commands/districts.rs
+++ b/crates/ochrelead-verify/src/commands/zones.rs
@@ -1,4 +1,4 @@
-//! `districts`: simulations of fleets whose zones fail and return, with and without acting together.
+//! `districts`: simulations of fleets whose zones fail and return, with and without coordination among the fronts.
 
 use std::ops::Range;
 use std::process::ExitCode;
@@ -10,14 +10,14 @@
 
 use super::{Seeded, run_seeds};
 
-/// One scenario, with each front alone and with all acting together.
+/// The outcomes of one scenario without coordination and with it.
 struct Comparison {
     scenario: Scenario,
     alone: Outcome,
     together: Outcome,
 }
 
-/// A figure of an outcome.
+/// Extracts a figure from an outcome.
 type Figure<'a, T> = &'a dyn Fn(&Outcome) -> T;
 
 const FIGURES: [(&str, Figure<'_, f64>); 5] = [
@@ -38,7 +38,7 @@
 pub(crate) fn run(
     seeds: Range<u64>,
     scenario: impl Fn(u64) -> Scenario + Sync,
-    has_course: bool,
+    prints_time_series: bool,
 ) -> ExitCode {
     let started = Instant::now();
     let comparisons = run_seeds(seeds, |seed| {
@@ -56,17 +56,17 @@
         let together = comparisons.iter().filter_map(|seeded| duration(&seeded.result.together));
         print_duration(name, "together", together.collect());
     }
-    if has_course {
-        comparisons.iter().for_each(print_course);
+    if prints_time_series {
+        comparisons.iter().for_each(print_time_series);
     }
-    let mut is_clean = true;
+    let mut all_passed = true;
     for Seeded { seed, result } in &comparisons {
         if let Some(violation) = &result.together.violation {
-            is_clean = false;
+            all_passed = false;
             println!("found: seed {seed}: {violation}; {:?}", result.scenario.faults);
         }
     }
-    if is_clean { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if all_passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn print_figures(comparisons: &[Seeded<Comparison>]) {
@@ -83,27 +83,28 @@
         |seeded: &Seeded<Comparison>| seeded.result.together.served_share - seeded.result.alone.served_share;
     let gains: Vec<f64> = comparisons.iter().map(gain).collect();
     let mean = gains.iter().sum::<f64>() / gains.len() as f64;
-    let squares = gains.iter().map(|gain| (gain - mean).powi(2)).sum::<f64>();
-    let variance = squares / (gains.len().max(2) - 1) as f64;
-    let error = (variance / gains.len() as f64).sqrt();
-    println!("more served together: {mean:.4}, standard error {error:.4}");
+    let sum_of_squares = gains.iter().map(|gain| (gain - mean).powi(2)).sum::<f64>();
+    let variance = sum_of_squares / (gains.len().max(2) - 1) as f64;
+    let standard_error = (variance / gains.len() as f64).sqrt();
+    println!("more served together: {mean:.4}, standard error {standard_error:.4}");
 }
 
-fn print_duration(name: &str, how: &str, mut durations_ms: Vec<u64>) {
+fn print_duration(name: &str, mode: &str, mut durations_ms: Vec<u64>) {
     durations_ms.sort_unstable();
     let count = durations_ms.len();
-    if let Some(worst) = durations_ms.last() {
-        let (median, nine_in_ten) = (durations_ms[count / 2], durations_ms[count * 9 / 10]);
-        println!("{name}, {how}, ms: median {median}, nine in ten {nine_in_ten}, worst {worst}, of {count}");
+    if let Some(longest) = durations_ms.last() {
+        let (median, p90) = (durations_ms[count / 2], durations_ms[count * 9 / 10]);
+        println!("{name}, {mode}, ms: median {median}, nine in ten {p90}, worst {longest}, of {count}");
     }
 }
 
-/// A line for each half second, with the service and the share in force.
-fn print_course(Seeded { seed, result }: &Seeded<Comparison>) {
-    let courses = result.alone.served_over_time.iter().zip(&result.together.served_over_time);
-    for (index, (alone, together)) in courses.enumerate() {
+/// Prints a line for each half second, with the served share of both runs and the share of traffic that the failed
+/// zone may get.
+fn print_time_series(Seeded { seed, result }: &Seeded<Comparison>) {
+    let time_series = result.alone.served_over_time.iter().zip(&result.together.served_over_time);
+    for (index, (alone, together)) in time_series.enumerate() {
         let share = result.together.zone_shares.get(index).copied();
-        let (at, alone, together) = (alone.start_seconds, alone.share, together.share);
-        println!("seed {seed} {at:.1} s: alone {alone:.3}, together {together:.3}, share {share:?}");
+        let (at_seconds, alone, together) = (alone.start_seconds, alone.share, together.share);
+        println!("seed {seed} {at_seconds:.1} s: alone {alone:.3}, together {together:.3}, share {share:?}");
     }
 }
--- a/crates/ochrelead-verify/src/lib.rs
+++ b/crates/ochrelead-verify/src/lib.rs
@@ -1,14 +1,14 @@
-//! Verification of what fronts do together. Each kind runs the engines as they ship, and has to find the deliberate
-//! mutations of their surroundings.
+//! Verification of how fronts cooperate: leases, gossip and zones. All kinds of verification run the engines as they
+//! ship. Deliberate mutations of the engines' environment show that a verification detects faults.
 //!
-//! - [`explore`]: a model checker; every order of a few events, complete to a depth.
-//! - [`simulation`]: fleets of lease engines on a virtual clock, with faults from seeds.
-//! - [`fleet`]: whole fleets of nodes on a virtual clock; what coordination costs, and how soon a lease is held again.
-//! - [`cluster`]: several processes of the program, a relay between them, and a server that is acted upon.
-//! - [`soak`]: dense trials of several node processes between emulated parties, judged by the platform's rules.
-//! - [`zones`]: whole fleets with servers and callers, whose zones fail and return; it has mutations of its own.
-//! - [`mutation`]: what is wrong on purpose, around the lease engine and never in it.
-//! - [`resource`], [`violation`]: what holders act upon, and what does not hold.
+//! - [`explore`]: a model checker; every interleaving of a bounded set of events, exhaustive to a depth.
+//! - [`simulation`]: fleets of lease engines on a virtual clock, with faults drawn from seeds.
+//! - [`fleet`]: fleets of nodes on a virtual clock; the cost of coordination, and the time without a lease holder.
+//! - [`cluster`]: front processes with a relay between them, and a server that checks fencing tokens.
+//! - [`soak`]: trials of node processes with many faults, among emulated peers, checked against the platform's rules.
+//! - [`zones`]: fleets with servers and callers whose zones fail and return, with a separate set of mutations.
+//! - [`mutation`]: mutations of the lease engine's environment, never of the engine itself.
+//! - [`resource`], [`violation`]: the resource that leases protect, and violations of the lease invariants.
 //!
 //! ```
 //! use ochrelead_verify::explore::{Model, explore};
--- a/crates/ochrelead-verify/src/main.rs
+++ b/crates/ochrelead-verify/src/main.rs
@@ -12,9 +12,10 @@
 use ochrelead_verify::simulation;
 use ochrelead_verify::zones::scenario::Scenario;
 
-/// Verifies what fronts do together: a lease never has two holders, whatever happens between the fronts.
+/// Verifies how fronts cooperate under faults of processes and networks: no lease has two holders, fleets leave
+/// failing zones together, and calls keep the platform's rules.
 ///
-/// Exit: 0 nothing was found, 1 something was found, 2 usage.
+/// Exit: 0 no violation was found, 1 a violation was found, 2 usage.
 #[derive(Parser)]
 #[command(
     version,
@@ -32,131 +33,158 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check every order of a few events over the engines themselves
+    /// Check every interleaving of a bounded set of events over the lease engines
     Explore {
-        /// Fronts that vote
+        /// Number of voters
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=64))]
         voters: u32,
-        /// Fronts that are candidates for the task
+        /// Number of candidates for the task
         #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u32).range(1..=64))]
         candidates: u32,
+        /// Number of fronts; raised to the number of voters or candidates if lower
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=64))]
         fronts: u32,
-        /// Steps from the start
+        /// Maximum number of steps from the initial state
         #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u8).range(1..))]
         depth: u8,
-        /// Steps of time, of which a lease has four
+        /// Maximum number of ticks of time; a lease lasts four
         #[arg(long, default_value_t = 6)]
         ticks: u8,
+        /// Maximum number of restarts
         #[arg(long, default_value_t = 1)]
         restarts: u8,
-        #[arg(long, default_value_t = 1)]
-        doubles: u8,
+        /// Maximum number of duplicated messages
+        #[arg(long = "doubles", value_name = "DOUBLES", default_value_t = 1)]
+        duplicates: u8,
+        /// Maximum number of times a holder leaves service
         #[arg(long, default_value_t = 1)]
         leaves: u8,
-        /// The most states to go through
-        #[arg(long, default_value_t = 200_000_000)]
-        most: u64,
+        /// Number of states after which the search stops
+        #[arg(long = "most", value_name = "MOST", default_value_t = 200_000_000)]
+        max_states: u64,
     },
-    /// Measure what coordination costs, and how soon a lease is held again after each fault, on a virtual clock
+    /// Measure the cost of coordination, and the time without a lease holder after each fault, on a virtual clock
     Costs {
+        /// Number of fronts
         #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u32).range(2..))]
         fronts: u32,
-        /// Silent servers
+        /// Number of silent servers
         #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u32).range(1..))]
         servers: u32,
-        #[arg(long, default_value_t = 60)]
-        secs: u64,
-        /// How often each fault is simulated
-        #[arg(long, default_value_t = 20)]
-        times: u64,
+        /// Duration of each simulation, in seconds
+        #[arg(long = "secs", value_name = "SECS", default_value_t = 60)]
+        duration_secs: u64,
+        /// Number of simulations of each fault
+        #[arg(long = "times", value_name = "TIMES", default_value_t = 20)]
+        repetitions: u64,
     },
-    /// Run dense trials of several processes with faults from seeds, and judge them by the platform's rules
+    /// Run trials of several processes with many faults drawn from seeds, and check them against the platform's rules
     Soak {
-        /// The seeds, as FIRST..END
+        /// The seeds, as FIRST..END; END is excluded
         #[arg(value_parser = range)]
         seeds: Range<u64>,
-        /// The program
-        #[arg(long, default_value = "target/release/ochrelead-front")]
-        front: PathBuf,
-        /// Trials at a time
+        /// Path of the program ochrelead-front
+        #[arg(long = "front", value_name = "FRONT", default_value = "target/release/ochrelead-front")]
+        binary: PathBuf,
+        /// Number of concurrent trials
         #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u8).range(1..=20))]
         parallel: u8,
-        /// Where the configurations and logs of the nodes go
+        /// Folder for the configurations and logs of the nodes
         #[arg(long, default_value = "target/soak")]
         folder: PathBuf,
-        /// What the nodes log
-        #[arg(long, default_value = "info")]
-        log: String,
-        /// Nodes of each trial; drawn from its seed where none is given
+        /// Log level of the nodes
+        #[arg(long = "log", value_name = "LOG", default_value = "info")]
+        log_level: String,
+        /// Number of nodes in each trial; without it, drawn from the trial's seed
         #[arg(long, value_parser = clap::value_parser!(u8).range(2..=128))]
         nodes: Option<u8>,
-        /// Print everything that was seen, too
+        /// Also print the scenario and the history of each trial
         #[arg(long)]
         verbose: bool,
     },
-    /// Run several processes of the program with a relay between them, and faults from a seed one after the other
-    Play {
-        /// The program
-        #[arg(long, default_value = "target/release/ochrelead-front")]
-        front: PathBuf,
+    /// Run several front processes with a relay between them, and inject faults drawn from a seed one after the other
+    #[command(name = "play")]
+    Cluster {
+        /// Path of the program ochrelead-front
+        #[arg(long = "front", value_name = "FRONT", default_value = "target/release/ochrelead-front")]
+        binary: PathBuf,
+        /// Number of fronts
         #[arg(long, default_value_t = 7, value_parser = clap::value_parser!(u32).range(2..=20))]
         fronts: u32,
+        /// Seed of the faults
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The number of faults
+        /// Number of faults
         #[arg(long, default_value_t = 20)]
         faults: u32,
     },
-    /// Simulate fleets with servers and callers whose zones fail and return, on a virtual clock: each scenario with and
-    /// without acting together
-    Districts {
-        /// Which seeds, as in 0..100
+    /// Simulate fleets with servers and callers whose zones fail and return, on a virtual clock: each scenario with
+    /// and without coordination among the fronts
+    #[command(name = "districts")]
+    Zones {
+        /// The seeds, as in 0..100
         #[arg(value_parser = range)]
         seeds: Range<u64>,
+        /// Number of fronts
         #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u32).range(8..))]
         fronts: u32,
+        /// Number of servers
         #[arg(long, default_value_t = 24, value_parser = clap::value_parser!(u32).range(8..))]
         servers: u32,
-        /// Scenarios in which no zone may be drained: all slow, overload, a few bad servers, a front cut off
+        /// Only scenarios in which no zone may be drained: all servers slow, overload, a few failed servers, a front
+        /// cut off
         #[arg(long)]
         harmless: bool,
-        /// Also print a line for each half second with the service and the share in force
-        #[arg(long)]
-        course: bool,
+        /// Also print, for each half second, the served share and the share of traffic that the failed zone may get
+        #[arg(long = "course")]
+        prints_time_series: bool,
     },
     /// Simulate fleets on a virtual clock, with faults drawn from seeds
     Seeds {
-        /// Which seeds, as in 0..1000
+        /// The seeds, as in 0..1000
         #[arg(value_parser = range)]
         seeds: Range<u64>,
-        /// Fronts of each fleet; 7 to 300 by the seed where none is given
+        /// Number of fronts; without it, 7 to 300 depending on the seed
         #[arg(long, value_parser = clap::value_parser!(u32).range(2..))]
         fronts: Option<u32>,
+        /// Number of tasks with a lease
         #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..))]
         tasks: u64,
-        /// How long each simulation lasts, in seconds
-        #[arg(long, default_value_t = 60)]
-        secs: u64,
-        /// Without faults, to see what it costs
-        #[arg(long)]
-        calm: bool,
+        /// Duration of each simulation, in seconds
+        #[arg(long = "secs", value_name = "SECS", default_value_t = 60)]
+        duration_secs: u64,
+        /// Inject no faults, to measure the messages of normal operation
+        #[arg(long = "calm")]
+        without_faults: bool,
     },
 }
 
-/// A range of seeds. The error completes the message of the argument parser.
+/// Parses a range of seeds. The argument parser puts the rejected value in front of the error.
 fn range(text: &str) -> Result<Range<u64>, String> {
-    let (from, to) = text.split_once("..").ok_or("two numbers with .. between")?;
+    let (from, to) = text.split_once("..").ok_or("expected FIRST..END, such as 0..100")?;
     let number = |text: &str| text.parse::<u64>().map_err(|error| format!("{text:?}: {error}"));
     let seeds = number(from)?..number(to)?;
-    if seeds.is_empty() { Err(format!("{text}: no seed between")) } else { Ok(seeds) }
+    if seeds.is_empty() {
+        Err("the range is empty: END must be greater than FIRST".to_owned())
+    } else {
+        Ok(seeds)
+    }
 }
 
 fn main() -> ExitCode {
     match Arguments::parse().command {
-        Command::Explore { voters, candidates, fronts, depth, ticks, restarts, doubles, leaves, most } => {
+        Command::Explore {
+            voters,
+            candidates,
+            fronts,
+            depth,
+            ticks,
+            restarts,
+            duplicates,
+            leaves,
+            max_states,
+        } => {
             let fronts = fronts.max(voters).max(candidates);
-            let duplicates = doubles;
             let model = Model {
                 voters,
                 candidates,
@@ -168,32 +196,36 @@
                 depth,
                 mutation: None,
             };
-            commands::explore::run(&model, most)
+            commands::explore::run(&model, max_states)
+        }
+        Command::Costs { fronts, servers, duration_secs, repetitions } => {
+            commands::costs::run(fronts, servers, duration_secs, repetitions)
+        }
+        Command::Cluster { binary, fronts, seed, faults } => {
+            commands::cluster::run(&binary, fronts, seed, faults)
         }
-        Command::Costs { fronts, servers, secs, times } => commands::costs::run(fronts, servers, secs, times),
-        Command::Play { front, fronts, seed, faults } => commands::cluster::run(&front, fronts, seed, faults),
-        Command::Soak { seeds, front, parallel, folder, log, nodes, verbose } => commands::soak::run(
+        Command::Soak { seeds, binary, parallel, folder, log_level, nodes, verbose } => commands::soak::run(
             seeds,
             &SoakOptions {
-                program: front,
+                program: binary,
                 parallel,
                 folder,
-                log_level: log,
+                log_level,
                 nodes: nodes.map(usize::from),
                 verbose,
             },
         ),
-        Command::Districts { seeds, fronts, servers, harmless, course } => {
+        Command::Zones { seeds, fronts, servers, harmless, prints_time_series } => {
             let draw = if harmless { Scenario::harmless } else { Scenario::failing };
-            commands::districts::run(seeds, |seed| draw(seed, fronts, servers), course)
+            commands::zones::run(seeds, |seed| draw(seed, fronts, servers), prints_time_series)
         }
-        Command::Seeds { seeds, fronts, tasks, secs, calm } => {
+        Command::Seeds { seeds, fronts, tasks, duration_secs, without_faults } => {
             let scenario = |seed| simulation::Scenario {
                 seed,
                 fronts: fronts.unwrap_or_else(|| default_fleet_size(seed)),
                 tasks,
-                duration_secs: secs,
-                without_faults: calm,
+                duration_secs,
+                without_faults,
                 mutation: None,
             };
             commands::seeds::run(seeds, scenario)
@@ -201,7 +233,7 @@
     }
 }
 
-/// One fleet in ten is large.
+/// The number of fronts if none is given: one fleet in ten is large.
 fn default_fleet_size(seed: u64) -> u32 {
     if seed % 10 == 0 { 300 } else { 7 + (seed % 13) as u32 }
 }
