--- a/crates/ochrelead-verify/src/cluster/fault_run.rs
+++ b/crates/ochrelead-verify/src/cluster/fault_run.rs
@@ -22,7 +22,7 @@
     HolderKilled,
     HolderPaused,
     HolderLeaves,
-    HolderCutOff,
+    HolderPartitioned,
     FrontRestarts,
     VotersRestart,
 }
@@ -32,7 +32,7 @@
         Fault::HolderKilled,
         Fault::HolderPaused,
         Fault::HolderLeaves,
-        Fault::HolderCutOff,
+        Fault::HolderPartitioned,
         Fault::FrontRestarts,
         Fault::VotersRestart,
     ];
@@ -43,14 +43,14 @@
     }
 }
 
-/// The name in the program's output; where it names no front, the fault is one of the holder.
+/// The name in the program's output. Faults of the holder are printed without the word holder.
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Fault::HolderKilled => "killed",
             Fault::HolderPaused => "paused",
             Fault::HolderLeaves => "leaves service",
-            Fault::HolderCutOff => "partitioned",
+            Fault::HolderPartitioned => "partitioned",
             Fault::FrontRestarts => "front restarted",
             Fault::VotersRestart => "voters restarted",
         })
@@ -115,7 +115,7 @@
             cluster.pause(holder);
         }
         Fault::HolderLeaves => cluster.leave(holder)?,
-        Fault::HolderCutOff => {
+        Fault::HolderPartitioned => {
             let links = (0..cluster.fronts()).flat_map(|other| [(holder, other), (other, holder)]);
             let cut = links.collect();
             cluster.relay.set_faults(NetworkFaults { cut, ..NetworkFaults::default() });
