--- a/crates/ochrelead-front/tests/zones.rs
+++ b/crates/ochrelead-front/tests/zones.rs
@@ -114,9 +114,9 @@
         let calls = self.deployment.calls();
         let old = calls
             .values()
-            .filter(|call| call.asked.is_some_and(|asked_at| asked_at.elapsed().as_secs() > 20));
+            .filter(|call| call.requested_at.is_some_and(|asked_at| asked_at.elapsed().as_secs() > 20));
         let (answered, all) = old.fold((0, 0), |(answered, all), call| {
-            (answered + u32::from(call.ups + call.downs_before > 0), all + 1)
+            (answered + u32::from(call.established + call.rejected > 0), all + 1)
         });
         // What a killed front held is lost; nothing else is.
         assert!(answered * 100 >= all * 95, "{answered} of {all} had an answer");
--- a/crates/ochrelead-verify/src/cluster/deployment.rs
+++ b/crates/ochrelead-verify/src/cluster/deployment.rs
@@ -42,13 +42,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct CallRecord {
     /// When the caller requested the call.
-    pub asked: Option<Instant>,
+    pub requested_at: Option<Instant>,
     /// Number of `up` messages: the call is established.
-    pub ups: u32,
+    pub established: u32,
     /// Number of `down` messages before any `up`: the call is rejected.
-    pub downs_before: u32,
+    pub rejected: u32,
     /// Number of `down` messages after an `up`: the call is released.
-    pub downs_after: u32,
+    pub released: u32,
 }
 
 #[derive(Default)]
@@ -208,7 +208,7 @@
         if let Some(invite) = invites.into_iter().find(|invite| !calls.contains_key(&invite.call)) {
             return Err(CallViolation::UnknownCall { invite });
         }
-        match calls.into_iter().find(|(_, record)| record.ups + record.downs_before > 1) {
+        match calls.into_iter().find(|(_, record)| record.established + record.rejected > 1) {
             Some((call, record)) => Err(CallViolation::MultipleFinalAnswers { call, record }),
             None => Ok(()),
         }
@@ -245,7 +245,7 @@
             let extras = format!("dest:{};width:1;via:-1", self.last_call % self.servers);
             let request = json!({"t": "new", "ref": call, "d": DESCRIPTION,
                 "f": {"class": "voice", "left": "9000", "key": call, "extras": extras}});
-            let record = CallRecord { asked: Some(Instant::now()), ..CallRecord::default() };
+            let record = CallRecord { requested_at: Some(Instant::now()), ..CallRecord::default() };
             lock(&self.shared.calls).insert(call, record);
             if requests.write_all(format!("{request}\n").as_bytes()).is_err() {
                 return;
@@ -264,9 +264,9 @@
         let mut calls = lock(&shared.calls);
         let Some(record) = calls.get_mut(call) else { continue };
         match message["t"].as_str() {
-            Some("up") => record.ups += 1,
-            Some("down") if record.ups == 0 => record.downs_before += 1,
-            Some("down") => record.downs_after += 1,
+            Some("up") => record.established += 1,
+            Some("down") if record.established == 0 => record.rejected += 1,
+            Some("down") => record.released += 1,
             _ => {}
         }
     }
