--- a/crates/ochrelead-verify/src/explore/search.rs
+++ b/crates/ochrelead-verify/src/explore/search.rs
@@ -10,7 +10,7 @@
 
 /// Number of separately locked maps that hold the visited states.
 const SHARDS: u64 = 256;
-/// Number of paths from which the threads start, unless the depth or the state space is too small.
+/// Minimum number of paths from which the threads start, unless the depth or the state space is too small.
 const MIN_INITIAL_PATHS: usize = 300;
 
 /// Ignores poisoning: a panic in one thread ends the whole search, and the guarded data is consistent at every panic.
