--- a/crates/ochrelead-sim/src/commands.rs
+++ b/crates/ochrelead-sim/src/commands.rs
@@ -1,4 +1,4 @@
-//! The program's subcommands: each simulates, prints what came of it, and says whether all was well.
+//! The subcommands: each runs simulations, prints the results and returns whether the run counts as a success.
 
 pub(crate) mod diagnosis;
 pub(crate) mod experiment;
@@ -21,12 +21,12 @@
 use ochrelead_sim::run::{self, Outcome};
 use ochrelead_sim::world::RecordingOptions;
 
-/// How many threads to use.
-pub(crate) fn cores() -> usize {
+/// Returns the number of threads that the machine can run in parallel.
+pub(crate) fn available_threads() -> usize {
     thread::available_parallelism().map_or(1, usize::from)
 }
 
-/// The scenario of a seed, or of a file.
+/// Returns the scenario generated from a seed if `source` is a number, or else read from the file `source`.
 pub(crate) fn generated_scenario(source: &str) -> anyhow::Result<ScenarioFile> {
     if let Ok(seed) = source.parse() {
         return Ok(generator::generate(seed));
@@ -36,19 +36,19 @@
     Ok(document.finish(scenario).map_err(InvalidDocument::from)?)
 }
 
-/// The scenario of a file.
+/// Reads a scripted scenario from a file.
 pub(crate) fn scripted_scenario(path: &Path) -> anyhow::Result<Scenario> {
     Ok(scenario::open(path).map_err(InvalidDocument::from)?)
 }
 
-/// Simulates a scenario with the module, and checks all invariants.
+/// Simulates a scenario with the module's policy and checks all invariants.
 pub(crate) fn check(file: &ScenarioFile, trace: bool) -> anyhow::Result<Outcome> {
     let options = RecordingOptions { datagrams: true, trace, event_logs: false };
     Ok(run::run(&generator::parse(file)?, PolicyKind::Controller, options)?)
 }
 
-/// Calls `run` for each index below `count`, on several threads, with a progress bar over so many `unit`s. Returns the
-/// results in the order of the indices.
+/// Calls `run` for each index below `count` on several threads, with a progress bar that counts `unit`s. Returns the
+/// results ordered by index.
 pub(crate) fn parallel_map<R: Send>(
     count: u64,
     threads: usize,
@@ -60,7 +60,7 @@
         "{{bar:40}} {{pos}}/{{len}} {unit}, {{eta}} to go"
     ))?);
     let (next, results) = (AtomicU64::new(0), Mutex::new(Vec::new()));
-    let work = || {
+    let worker = || {
         loop {
             let index = next.fetch_add(1, Ordering::Relaxed);
             if index >= count {
@@ -73,7 +73,7 @@
     };
     thread::scope(|scope| {
         for _ in 0..threads {
-            scope.spawn(work);
+            scope.spawn(worker);
         }
     });
     bar.finish_and_clear();
--- a/crates/ochrelead-sim/src/commands/explore.rs
+++ b/crates/ochrelead-sim/src/commands/explore.rs
@@ -1,4 +1,4 @@
-//! `explore`: the generated scenarios of many seeds.
+//! `explore`: simulates the generated scenarios of a range of seeds.
 
 use std::ops::Range;
 use std::time::Instant;
@@ -6,9 +6,9 @@
 use ochrelead_sim::generator;
 use ochrelead_sim::violation::Violation;
 
-use super::{check, cores, parallel_map};
+use super::{available_threads, check, parallel_map};
 
-/// What came of one seed.
+/// The result of one seed.
 struct SeedResult {
     seed: u64,
     steps: u64,
@@ -16,9 +16,10 @@
     violation: Option<Violation>,
 }
 
-/// Simulates the scenarios of the seeds and prints the violations; whether there was none.
+/// Simulates the scenario of each seed and prints the violations. Returns whether there were none. `threads` is 0 for
+/// one thread per core.
 pub(crate) fn run(seeds: Range<u64>, threads: usize) -> anyhow::Result<bool> {
-    let threads = if threads == 0 { cores() } else { threads };
+    let threads = if threads == 0 { available_threads() } else { threads };
     let count = seeds.end.saturating_sub(seeds.start);
     let began = Instant::now();
     let results = parallel_map(count, threads, "seeds", |index, bar| {
--- a/crates/ochrelead-sim/src/commands/play.rs
+++ b/crates/ochrelead-sim/src/commands/play.rs
@@ -1,4 +1,4 @@
-//! `play`: a scripted scenario with all policies.
+//! `play`: simulates a scripted scenario with each policy.
 
 use std::path::Path;
 use std::time::Instant;
@@ -12,15 +12,16 @@
 
 use super::scripted_scenario;
 
-/// Simulates a scenario with each policy, or the module alone; whether the module violated nothing.
-pub(crate) fn run(path: &Path, records: Option<&Path>, module_alone: bool) -> anyhow::Result<bool> {
+/// Simulates a scenario with each policy, or with the module's policy only. Returns whether the module violated no
+/// invariant.
+pub(crate) fn run(path: &Path, records: Option<&Path>, module_only: bool) -> anyhow::Result<bool> {
     let scenario = scripted_scenario(path)?;
     let mut is_clean = true;
     println!(
         "{:<12} {:>7} {:>11} {:>9} {:>12} {:>10}",
         "service", "whole", "worst 10 s", "events", "rules", "x real"
     );
-    let policies = if module_alone { &PolicyKind::ALL[..1] } else { &PolicyKind::ALL[..] };
+    let policies = if module_only { &PolicyKind::ALL[..1] } else { &PolicyKind::ALL[..] };
     for &(name, policy_kind) in policies {
         let began = Instant::now();
         let is_module = policy_kind == PolicyKind::Controller;
@@ -48,12 +49,12 @@
     Ok(is_clean)
 }
 
-/// Writes the event logs as the fronts themselves would have.
+/// Writes the event logs in the file format of the fronts.
 fn write_logs(folder: &Path, logs: Vec<Log>) -> anyhow::Result<()> {
     let bounds = Bounds { max_queued_events: usize::MAX, max_total_bytes: u64::MAX, ..Bounds::default() };
     for log in logs {
         let (front, started) = (log.incarnation.front.clone(), log.incarnation.started_us);
-        let on_error = |error| eprintln!("ochrelead-sim: {error}");
+        let on_error = |error| eprintln!("ochrelead-sim: event log not written: {error}");
         let mut recorder = Recorder::start(folder, &front, started, bounds, on_error)
             .with_context(|| folder.display().to_string())?;
         log.for_each(|record| {
--- a/crates/ochrelead-sim/src/commands/replay.rs
+++ b/crates/ochrelead-sim/src/commands/replay.rs
@@ -1,4 +1,4 @@
-//! `replay`: one scenario again, with what happened in it.
+//! `replay`: simulates one scenario again and prints its trace and result.
 
 use std::fs;
 use std::path::Path;
@@ -7,10 +7,10 @@
 
 use super::{check, generated_scenario};
 
-/// The lines of the trace that are printed before a step.
+/// Maximum number of trace lines that are printed up to a step.
 const MAX_TRACE_LINES: usize = 60;
 
-/// Simulates a scenario and prints what came of it; whether nothing was violated.
+/// Simulates a scenario and prints the result. Returns whether there was no violation.
 pub(crate) fn run(source: &str, trace: Option<&Path>, step: Option<u64>) -> anyhow::Result<bool> {
     let scenario = generated_scenario(source)?;
     let outcome = check(&scenario, trace.is_some() || step.is_some())?;
@@ -31,10 +31,10 @@
     Ok(false)
 }
 
-/// Prints the last lines of a trace up to a step.
+/// Prints the last lines of a trace up to and including a step.
 fn print_trace(trace: &str, last_step: u64) {
-    let step = |line: &str| line.split(' ').next().and_then(|number| number.parse::<u64>().ok());
+    let step_number = |line: &str| line.split(' ').next().and_then(|number| number.parse::<u64>().ok());
     let lines: Vec<&str> =
-        trace.lines().filter(|line| step(line).is_some_and(|step| step <= last_step)).collect();
+        trace.lines().filter(|line| step_number(line).is_some_and(|step| step <= last_step)).collect();
     lines[lines.len().saturating_sub(MAX_TRACE_LINES)..].iter().for_each(|line| println!("{line}"));
 }
--- a/crates/ochrelead-sim/src/commands/shrink.rs
+++ b/crates/ochrelead-sim/src/commands/shrink.rs
@@ -1,4 +1,4 @@
-//! `shrink`: the smallest scenario that still violates the same invariant.
+//! `shrink`: reduces a scenario to a smaller one that violates the same invariant.
 
 use std::fs;
 use std::path::Path;
@@ -9,21 +9,23 @@
 
 use super::{check, generated_scenario};
 
-/// The most scenarios that are tried.
+/// Maximum number of candidate scenarios that are simulated.
 const MAX_TRIES: usize = 400;
 
-/// Shrinks a scenario that violates something, and writes what is left to `out`.
+/// Shrinks a scenario that violates an invariant, and writes the result to `out`.
 pub(crate) fn run(source: &str, out: &Path) -> anyhow::Result<bool> {
     let scenario = generated_scenario(source)?;
-    let Some(violation) = check(&scenario, false)?.violation else { bail!("{source}: nothing is broken") };
+    let Some(violation) = check(&scenario, false)?.violation else {
+        bail!("{source}: the scenario violates no invariant, so there is nothing to shrink")
+    };
     let reproduces = |candidate: &ScenarioFile| {
-        let found = check(candidate, false).ok().and_then(|outcome| outcome.violation);
-        found.is_some_and(|found| found.kind() == violation.kind())
+        let reproduced = check(candidate, false).ok().and_then(|outcome| outcome.violation);
+        reproduced.is_some_and(|reproduced| reproduced.kind() == violation.kind())
     };
     let shrunk = shrink(&scenario, MAX_TRIES, reproduces);
     let text = generator::to_text(&shrunk.scenario);
     fs::write(out, format!("# {violation}\n{text}")).with_context(|| out.display().to_string())?;
-    let (left, before) = (shrunk.scenario.trouble.len(), scenario.trouble.len());
-    println!("{violation}\n{left} faults left of {before}, after {} days", shrunk.tries);
+    let (remaining, original) = (shrunk.scenario.trouble.len(), scenario.trouble.len());
+    println!("{violation}\n{remaining} faults left of {original}, after {} days", shrunk.tries);
     Ok(true)
 }
--- a/crates/ochrelead-sim/src/disk.rs
+++ b/crates/ochrelead-sim/src/disk.rs
@@ -1,34 +1,36 @@
-//! A disk in memory: it fills up, and what is written during a kill is torn.
+//! An in-memory disk that can run out of space and can tear a write that is interrupted by a kill.
 
 use std::collections::BTreeMap;
 use std::io;
 
 use ochrelead_host::state_folder::{Disk, Durability};
 
-/// One folder.
+/// The files of one folder.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk {
     files: BTreeMap<String, Vec<u8>>,
-    /// Whether writes fail for lack of space.
+    /// Whether the disk is full: writes fail, and leave a torn file.
     pub full: bool,
-    /// Steps (writes, renames, syncs) until the process is killed; a write during the kill is torn.
-    remaining_steps: Option<u32>,
+    /// Operations (writes, renames, syncs) that still succeed before the process is killed; `None` if no kill is
+    /// pending. A write that the kill interrupts is torn.
+    remaining_operations: Option<u32>,
 }
 
 impl MemoryDisk {
-    /// The process will be killed after so many steps.
-    pub fn fail_after(&mut self, steps: u32) {
-        self.remaining_steps = Some(steps);
+    /// Makes every operation after the next `operations` ones fail, as if the process were killed then.
+    pub fn fail_after(&mut self, operations: u32) {
+        self.remaining_operations = Some(operations);
     }
 
-    /// A new process runs: nothing fails any more because of the kill.
+    /// Clears a pending kill when a new process starts. A full disk stays full.
     pub fn restart(&mut self) {
-        self.remaining_steps = None;
+        self.remaining_operations = None;
     }
 
-    fn step(&mut self) -> io::Result<()> {
-        match &mut self.remaining_steps {
-            Some(0) => Err(io::Error::other("the process is gone")),
+    /// Counts one operation; fails if the process has been killed.
+    fn begin_operation(&mut self) -> io::Result<()> {
+        match &mut self.remaining_operations {
+            Some(0) => Err(io::Error::other("process killed during disk operation")),
             Some(remaining) => {
                 *remaining -= 1;
                 Ok(())
@@ -38,7 +40,7 @@
     }
 }
 
-/// The part of a torn write that reached the disk.
+/// Returns the part of a torn write that reached the disk.
 fn first_half(contents: &[u8]) -> Vec<u8> {
     contents[..contents.len() / 2].to_owned()
 }
@@ -51,22 +53,22 @@
     fn write(&mut self, name: &str, contents: &[u8], _: Durability) -> io::Result<()> {
         if self.full {
             self.files.insert(name.to_owned(), first_half(contents));
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "no space left"));
+            return Err(io::Error::new(io::ErrorKind::StorageFull, "no space left on simulated disk"));
         }
-        let result = self.step();
+        let result = self.begin_operation();
         let written = if result.is_ok() { contents.to_owned() } else { first_half(contents) };
         self.files.insert(name.to_owned(), written);
         result
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.step()?;
+        self.begin_operation()?;
         let contents = self.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
         self.files.insert(to.to_owned(), contents);
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.step()
+        self.begin_operation()
     }
 }
--- a/crates/ochrelead-sim/src/error.rs
+++ b/crates/ochrelead-sim/src/error.rs
@@ -1,15 +1,15 @@
-//! Why a scenario can't be simulated.
+//! Errors that prevent a scenario from being simulated.
 
 use ochrelead_config::diagnostic::Diagnostic;
 use thiserror::Error;
 
 use crate::violation::InvariantError;
 
-/// A file or a message in text form that is refused, with all that is wrong with it.
+/// A text-format document that fails validation, with all diagnostics.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{}", lines(diagnostics))]
+#[error("{}", join_lines(diagnostics))]
 pub struct InvalidDocument {
-    /// What is wrong, in the order of the document.
+    /// The diagnostics, in document order.
     pub diagnostics: Vec<Diagnostic>,
 }
 
@@ -19,19 +19,19 @@
     }
 }
 
-/// One line for each.
-fn lines(diagnostics: &[Diagnostic]) -> String {
+/// Formats the diagnostics, one per line.
+fn join_lines(diagnostics: &[Diagnostic]) -> String {
     diagnostics.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
-/// Why a simulation can't begin.
+/// An error that prevents a simulation from starting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum SimulationError {
-    /// The scenario gives no valid configuration for a front.
+    /// The scenario yields an invalid front configuration.
     #[error(transparent)]
     FrontConfig(#[from] InvalidDocument),
-    /// An invariant is violated before the first step.
+    /// An invariant is violated while the participants start, before the first step.
     #[error(transparent)]
     Invariant(#[from] InvariantError),
 }
--- a/crates/ochrelead-sim/src/experiment.rs
+++ b/crates/ochrelead-sim/src/experiment.rs
@@ -1,4 +1,5 @@
-//! Grids of scenarios: how much is served, by load, size and policy, with how sure that is.
+//! Experiments: a grid of scenarios that measures the service level by load, deployment size and policy, with
+//! confidence intervals.
 
 pub mod plot;
 pub mod results;
@@ -18,38 +19,38 @@
 use crate::violation::ViolationKind;
 use crate::world::RecordingOptions;
 
-/// The most runs of one experiment.
+/// Maximum number of runs of one experiment.
 const MAX_RUNS: u64 = 100_000;
-/// How often each case is repeated where the file does not say.
+/// Number of repeats of each case if the file gives none.
 const DEFAULT_REPEATS: u32 = 5;
-/// The most repeats that a file may ask for.
+/// Maximum number of repeats that a file may set.
 const MAX_REPEATS: f64 = 10_000.0;
 
-/// A policy, with the name that files and tables have for it.
+/// A policy, with its name in files and tables.
 type NamedPolicy = (&'static str, PolicyKind);
 
-/// Why an experiment can't be run.
+/// An error that prevents an experiment from running.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum ExperimentError {
-    /// The experiment's file or its scenario is refused.
+    /// The experiment file or its scenario file is invalid.
     #[error(transparent)]
     Document(#[from] InvalidDocument),
-    /// A case has a number of servers that the scenario does not have.
-    #[error("servers: {servers}; the day has 1 to {listed}")]
+    /// A case has no servers, or more than the scenario defines.
+    #[error("servers is {servers}; it must be from 1 to {available}, the number of servers in the scenario")]
     ServerCount {
-        /// The servers of the case.
+        /// The number of servers of the case.
         servers: usize,
-        /// The servers of the scenario.
-        listed: usize,
+        /// The number of servers of the scenario.
+        available: usize,
     },
     /// A case has no fronts.
-    #[error("fronts: there must be one at least")]
+    #[error("fronts is 0; it must be at least 1")]
     NoFronts,
     /// The grid has too many runs.
-    #[error("{runs} days; there may be {MAX_RUNS}")]
+    #[error("the grid has {runs} runs; at most {MAX_RUNS} are allowed")]
     TooManyRuns {
-        /// The runs of the grid.
+        /// The number of runs of the grid.
         runs: u64,
     },
 }
@@ -60,7 +61,7 @@
     }
 }
 
-/// A grid: each combination of load, fronts, servers and policy, some times each.
+/// A grid of every combination of load, fronts, servers and policy, each repeated with different seeds.
 pub struct Experiment {
     scenario: Scenario,
     rates: Vec<f64>,
@@ -70,45 +71,45 @@
     repeats: u64,
 }
 
-/// How many fronts and servers a case has.
+/// The number of fronts and servers of a case.
 #[derive(Clone, Copy)]
-struct Size {
+struct DeploymentSize {
     fronts: usize,
     servers: usize,
 }
 
 /// One run of an experiment.
 pub struct Case {
-    /// What is simulated.
+    /// The scenario to simulate.
     pub scenario: Scenario,
-    /// The name of the policy that decides.
+    /// The name of the call policy.
     pub policy: &'static str,
     policy_kind: PolicyKind,
 }
 
-/// What came of one run.
+/// The result of one run.
 #[derive(Clone, Debug)]
 pub struct CaseResult {
-    /// The share of the sessions' value that was served.
+    /// The share of the sessions' total value that was served.
     pub service: f64,
-    /// The same over the worst ten seconds.
+    /// The lowest such share over any ten seconds.
     pub worst_window: f64,
-    /// What could have been served at the most by capacity alone.
+    /// The upper limit of the service share that the servers' capacity allows.
     pub ceiling: f64,
-    /// The sessions that callers asked for.
+    /// The number of sessions that callers requested.
     pub offered: usize,
-    /// The events of the simulation.
+    /// The number of simulated events.
     pub events: u64,
-    /// The first violation; baselines violate rules.
+    /// The kind of the first violation. Baseline policies are expected to violate rules.
     pub violation: Option<ViolationKind>,
 }
 
 impl Experiment {
-    /// Reads an experiment's file and its scenario.
+    /// Reads an experiment file and the scenario file that it refers to.
     ///
     /// # Errors
     ///
-    /// All that is wrong with either, or what the scenario does not allow.
+    /// Returns the diagnostics of an invalid file, or the value of the grid that the scenario does not allow.
     pub fn open(path: &Path) -> Result<Experiment, ExperimentError> {
         let (grid, mut document) = Document::open::<schema::Experiment>(path, "Experiment")?;
         let scenario_file = document.required("day", grid.day.clone());
@@ -134,9 +135,9 @@
     }
 
     fn check(&self) -> Result<(), ExperimentError> {
-        let listed = self.scenario.servers.len();
-        if let Some(&servers) = self.servers.iter().find(|servers| **servers == 0 || **servers > listed) {
-            return Err(ExperimentError::ServerCount { servers, listed });
+        let available = self.scenario.servers.len();
+        if let Some(&servers) = self.servers.iter().find(|servers| **servers == 0 || **servers > available) {
+            return Err(ExperimentError::ServerCount { servers, available });
         }
         if self.fronts.contains(&0) {
             return Err(ExperimentError::NoFronts);
@@ -149,14 +150,15 @@
         Ok(())
     }
 
-    /// All runs, the repeats of one case together.
+    /// Returns all runs of the grid; the repeats of a case are adjacent.
     pub fn cases(&self) -> Vec<Case> {
         let mut cases = Vec::new();
         for &policy in &self.policies {
             for &fronts in &self.fronts {
                 for &servers in &self.servers {
                     for &rate in &self.rates {
-                        let repeat = |index| self.case(policy, Size { fronts, servers }, rate, index);
+                        let repeat =
+                            |index| self.case(policy, DeploymentSize { fronts, servers }, rate, index);
                         cases.extend((0..self.repeats).map(repeat));
                     }
                 }
@@ -165,13 +167,13 @@
         cases
     }
 
-    fn case(&self, policy: NamedPolicy, size: Size, sessions_per_s: f64, repeat: u64) -> Case {
+    fn case(&self, policy: NamedPolicy, size: DeploymentSize, sessions_per_s: f64, repeat: u64) -> Case {
         let mut scenario = self.scenario.clone();
         scenario.seed = self.scenario.seed + repeat;
         scenario.fronts = size.fronts;
         scenario.callers.sessions_per_s = sessions_per_s;
         scenario.servers.truncate(size.servers);
-        // A fault does not strike a party that is not there.
+        // Removes targets that do not exist in a deployment of this size.
         for fault in scenario.faults.iter_mut().filter(|fault| fault.kind != FaultKind::Redials) {
             let targets = if fault.kind.is_at_fronts() { size.fronts } else { size.servers };
             fault.targets.retain(|target| *target < targets);
@@ -183,7 +185,7 @@
     }
 }
 
-/// The policies of a grid; all where it names none.
+/// Returns the policies of a grid; all policies if it names none. Reports unknown names.
 fn policies(grid: &schema::Experiment, document: &mut Document) -> Vec<NamedPolicy> {
     let mut policies = Vec::new();
     for (index, name) in grid.policy.iter().enumerate() {
@@ -202,7 +204,7 @@
 fn check_grid(grid: &schema::Experiment, document: &mut Document) {
     for (index, name) in grid.trouble.iter().enumerate() {
         if name != "none" && !FaultKind::ALL.iter().any(|(known, _)| known == name) {
-            let message = format!("trouble is {name:?}, which no day has");
+            let message = format!("trouble is {name:?}, which is not a kind of fault");
             document.report(&format!("trouble[{index}]"), message);
         }
     }
@@ -211,20 +213,21 @@
     }
 }
 
-fn counts(listed: &[u32]) -> Vec<usize> {
-    listed.iter().map(|count| *count as usize).collect()
+fn counts(values: &[u32]) -> Vec<usize> {
+    values.iter().map(|count| *count as usize).collect()
 }
 
-fn or_default<T>(listed: Vec<T>, default: T) -> Vec<T> {
-    if listed.is_empty() { vec![default] } else { listed }
+/// Returns the values, or only the default if there are none.
+fn or_default<T>(values: Vec<T>, default: T) -> Vec<T> {
+    if values.is_empty() { vec![default] } else { values }
 }
 
 impl Case {
-    /// Simulates the scenario.
+    /// Simulates the scenario of the case.
     ///
     /// # Errors
     ///
-    /// Where the simulation can't begin.
+    /// Returns an error if the simulation can't start.
     pub fn run(&self) -> Result<CaseResult, SimulationError> {
         let options = RecordingOptions { datagrams: true, ..RecordingOptions::default() };
         let outcome = run(&self.scenario, self.policy_kind, options)?;
--- a/crates/ochrelead-sim/src/experiment/results.rs
+++ b/crates/ochrelead-sim/src/experiment/results.rs
@@ -1,4 +1,4 @@
-//! The results of an experiment: one row a run, and one mean a case.
+//! The results of an experiment: a table with one row per run, and a summary per case.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 use super::{Case, CaseResult};
 
-/// The confidence of the interval of a mean, two-sided.
+/// Confidence level of the two-sided interval of a mean.
 const CONFIDENCE: f64 = 0.95;
 
 const COLUMNS: [(&str, ColumnType); 11] = [
@@ -24,12 +24,12 @@
     ("broken", ColumnType::Text),
 ];
 
-/// All repeats of one case.
+/// A summary of all repeats of one case.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Point {
+pub struct CaseSummary {
     /// The name of the policy.
     pub policy: &'static str,
-    /// The sessions a second that callers ask for.
+    /// The offered load, in sessions per second.
     pub rate: f64,
     /// The number of fronts.
     pub fronts: usize,
@@ -37,21 +37,21 @@
     pub servers: usize,
     /// The number of runs.
     pub repeats: usize,
-    /// The mean of the service.
+    /// The mean service share.
     pub mean: f64,
-    /// The lower bound of its confidence interval.
+    /// The lower bound of the mean's confidence interval.
     pub low: f64,
-    /// The upper bound of its confidence interval.
+    /// The upper bound of the mean's confidence interval.
     pub high: f64,
-    /// The runs without a violation.
+    /// The number of runs without a violation.
     pub clean_runs: usize,
 }
 
-/// Writes one row a run; how many there are.
+/// Writes a table with one row per run. Returns the number of rows.
 ///
 /// # Errors
 ///
-/// Where the table can't be written.
+/// Returns an error if the table can't be written.
 pub fn write_table(path: &Path, cases: &[Case], results: &[CaseResult]) -> Result<usize, TableError> {
     let mut table = TableWriter::create(path, &COLUMNS)?;
     for (case, result) in cases.iter().zip(results) {
@@ -73,19 +73,20 @@
     table.finish()
 }
 
-/// The means of all cases, with Student's confidence intervals.
-pub fn points(cases: &[Case], results: &[CaseResult]) -> Vec<Point> {
-    let mut points = Vec::new();
+/// Summarizes all cases, with confidence intervals from Student's t-distribution.
+pub fn summarize(cases: &[Case], results: &[CaseResult]) -> Vec<CaseSummary> {
+    let mut summaries = Vec::new();
     let mut first = 0;
     while first < cases.len() {
         let case = &cases[first];
         let repeats = cases[first..].iter().take_while(|other| same_case(case, other)).count();
-        points.push(point(case, &results[first..first + repeats]));
+        summaries.push(summarize_case(case, &results[first..first + repeats]));
         first += repeats;
     }
-    points
+    summaries
 }
 
+/// Returns whether two runs are repeats of the same case.
 fn same_case(one: &Case, other: &Case) -> bool {
     let key = |case: &Case| {
         let scenario = &case.scenario;
@@ -95,10 +96,10 @@
     key(one) == key(other)
 }
 
-fn point(case: &Case, results: &[CaseResult]) -> Point {
+fn summarize_case(case: &Case, results: &[CaseResult]) -> CaseSummary {
     let services: Vec<f64> = results.iter().map(|result| result.service).collect();
-    let (mean, half_width) = mean_with_bounds(&services);
-    Point {
+    let (mean, half_width) = mean_and_half_width(&services);
+    CaseSummary {
         policy: case.policy,
         rate: case.scenario.callers.sessions_per_s,
         fronts: case.scenario.fronts,
@@ -111,14 +112,14 @@
     }
 }
 
-/// The mean, and half the width of its confidence interval.
-fn mean_with_bounds(figures: &[f64]) -> (f64, f64) {
-    let count = figures.len() as f64;
-    let mean = figures.iter().sum::<f64>() / count.max(1.0);
-    if figures.len() < 2 {
+/// Returns the mean, and half the width of its confidence interval; the width is 0 for a single value.
+fn mean_and_half_width(values: &[f64]) -> (f64, f64) {
+    let count = values.len() as f64;
+    let mean = values.iter().sum::<f64>() / count.max(1.0);
+    if values.len() < 2 {
         return (mean, 0.0);
     }
-    let variance = figures.iter().map(|figure| (figure - mean).powi(2)).sum::<f64>() / (count - 1.0);
-    let student = StudentsT::new(0.0, 1.0, count - 1.0).expect("one degree of freedom at least");
-    (mean, student.inverse_cdf(0.5 + CONFIDENCE / 2.0) * (variance / count).sqrt())
+    let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (count - 1.0);
+    let distribution = StudentsT::new(0.0, 1.0, count - 1.0).expect("at least one degree of freedom");
+    (mean, distribution.inverse_cdf(0.5 + CONFIDENCE / 2.0) * (variance / count).sqrt())
 }
--- a/crates/ochrelead-sim/src/front.rs
+++ b/crates/ochrelead-sim/src/front.rs
@@ -1,4 +1,4 @@
-//! A front's machine and the process on it: the engine as it ships, and around it what its host would do.
+//! A simulated front: its machine, and a process that runs the unmodified engine and does the work of its host.
 
 mod event_log;
 
@@ -24,70 +24,71 @@
 use crate::violation::{InvariantError, ViolationCause};
 use event_log::EventLog;
 
-/// How long after a change the writing thread saves the list of servers.
+/// Delay between a change of the list of servers and its save by the host's writer thread.
 const SAVE_DELAY: Span = Span::from_millis(2);
-/// How often the status of each server is recorded.
+/// Interval at which the status of each server is recorded.
 const STATUS_INTERVAL: Span = Span::from_secs(1);
-/// Datagrams that a socket holds while nobody reads it.
+/// Maximum number of unread datagrams in a socket's receive queue; further ones are lost.
 const SOCKET_CAPACITY: usize = 512;
-/// INVITEs of one session where the configuration names none, and at the most (docs/design.md).
-const DEFAULT_MAX_INVITES: u32 = 3;
-/// A session waits for its release, and up to so much longer for a server that has just started; then it has its
-/// answer.
-const IDLE_GRACE: Span = Span::from_millis(500);
-/// More calls than this at one moment are a loop without end.
-const MAX_CALLS_AT_ONCE: u32 = 2_000;
+/// Maximum number of INVITEs per session; the configuration can only lower it (docs/design.md).
+const MAX_INVITES: u32 = 3;
+/// Time for which a session may wait for a server that has just started, in addition to its release wait, before it
+/// must be answered.
+const SERVER_START_GRACE: Span = Span::from_millis(500);
+/// Maximum number of event-loop iterations at one point in time; more than this count as an endless loop.
+const MAX_ITERATIONS_AT_ONE_TIME: u32 = 2_000;
 
-/// A front's process while it runs.
+/// A running front process.
 pub struct FrontProcess {
-    /// The front's engine, as shipped.
+    /// The unmodified engine of the front.
     pub engine: Engine,
     clock: ProcessClock,
     sessions: SessionTracker,
-    /// The list of servers that will be saved, and when.
+    /// The list of servers to save, with the local time of the save.
     pending_save: Option<(Moment, PersistedEndpoints)>,
     next_status: Moment,
-    calls: CallCounter,
+    iterations: IterationCounter,
 }
 
-/// Counts how often a process was called without time passing.
-struct CallCounter {
+/// Counts the iterations of a process's event loop at one point in time.
+struct IterationCounter {
     time: Moment,
-    calls: u32,
+    iterations: u32,
 }
 
-impl CallCounter {
+impl IterationCounter {
+    /// Counts an iteration and returns the number of earlier ones at the same time.
     fn count(&mut self, now: Moment) -> u32 {
-        self.calls = if self.time == now { self.calls + 1 } else { 0 };
+        self.iterations = if self.time == now { self.iterations + 1 } else { 0 };
         self.time = now;
-        self.calls
+        self.iterations
     }
 }
 
-/// The machine that a front runs on. It outlives the front's processes.
+/// The machine of a front. Its clock, disk and configuration persist across the front's processes.
 pub struct FrontMachine {
     /// The configuration that each process starts with.
     pub config: FrontConfig,
     /// The system clock.
     pub clock: SystemClock,
-    /// The folder that the front's state is in.
+    /// The disk with the front's state folder.
     pub disk: MemoryDisk,
-    /// Whether a kill tears what is being written.
+    /// Whether a kill interrupts a pending save and can tear its write.
     pub tears_writes: bool,
-    /// The process, while one runs.
+    /// The running process, if any.
     pub process: Option<FrontProcess>,
-    /// How many processes have run here.
+    /// The number of processes that have been started.
     pub incarnations: u32,
-    /// Whether the process is stopped: it reads nothing until it is resumed.
+    /// Whether the process is stalled: it does nothing until it is resumed.
     pub stalled: bool,
     socket: VecDeque<(SocketAddr, Vec<u8>)>,
-    /// The event logs of all processes, where they are kept.
+    /// The event logs of all processes; `None` if they are not recorded.
     logs: Option<Vec<EventLog>>,
 }
 
 impl FrontMachine {
-    /// A machine on which nothing runs yet.
-    pub fn new(config: FrontConfig, keeps_logs: bool) -> FrontMachine {
+    /// Creates a machine without a running process.
+    pub fn new(config: FrontConfig, records_logs: bool) -> FrontMachine {
         FrontMachine {
             config,
             clock: SystemClock::default(),
@@ -97,16 +98,16 @@
             incarnations: 0,
             stalled: false,
             socket: VecDeque::new(),
-            logs: keeps_logs.then(Vec::new),
+            logs: records_logs.then(Vec::new),
         }
     }
 
-    /// Starts a process with the policy that `policy` makes and the persisted state that `restore` makes of what is on
-    /// the disk.
+    /// Starts a process. `make_policy` creates its call policy from the configuration and the local time; `restore` maps
+    /// the state loaded from the disk to the state that the process restores.
     pub fn start(
         &mut self,
         now: Moment,
-        policy: impl FnOnce(&FrontConfig, Moment) -> Box<dyn CallPolicy + Send>,
+        make_policy: impl FnOnce(&FrontConfig, Moment) -> Box<dyn CallPolicy + Send>,
         restore: impl FnOnce(Option<PersistedEndpoints>) -> Option<PersistedEndpoints>,
         rng: &mut Pcg64Mcg,
     ) {
@@ -117,7 +118,7 @@
         let clock = self.clock.start_process(now);
         let local_now = clock.read(now);
         self.config.controller.seed = rng.random();
-        let policy = policy(&self.config, local_now);
+        let policy = make_policy(&self.config, local_now);
         let mut engine = Engine::new(self.config.clone(), policy, rng.random(), local_now);
         let persisted = store::load(&self.disk).ok().and_then(|loaded| loaded.endpoints);
         if let Some(persisted) = restore(persisted) {
@@ -133,38 +134,39 @@
             sessions: SessionTracker::default(),
             pending_save: None,
             next_status: local_now,
-            calls: CallCounter { time: now, calls: 0 },
+            iterations: IterationCounter { time: now, iterations: 0 },
         });
     }
 
-    /// Kills the process, at any point of what its writing thread does.
+    /// Kills the process. If writes are torn, the kill interrupts a pending save at a random disk operation.
     pub fn kill(&mut self, rng: &mut Pcg64Mcg) {
         let Some(process) = self.process.take() else { return };
         if let Some((_, endpoints)) = process.pending_save.filter(|_| self.tears_writes) {
             self.disk.fail_after(rng.random_range(0..4));
-            // It fails where the kill strikes; the next process loads what is there.
+            // The save may fail at the interrupted operation; the next process loads what reached the disk.
             let _ = store::save(&mut self.disk, &endpoints);
         }
         self.stalled = false;
         self.socket.clear();
     }
 
-    /// Whether the socket takes a datagram: it waits there while the process is stalled, and is lost where there is
-    /// no process or the socket is full.
+    /// Returns whether the socket accepts a datagram. A datagram is lost if no process runs or the receive queue is
+    /// full; while the process is stalled, datagrams stay queued.
     pub fn can_receive(&self) -> bool {
         self.process.is_some() && self.socket.len() < SOCKET_CAPACITY
     }
 
-    /// A datagram comes to the socket.
+    /// Appends a datagram to the socket's receive queue.
     pub fn receive(&mut self, sender: SocketAddr, bytes: Vec<u8>) {
         self.socket.push_back((sender, bytes));
     }
 
-    /// Reads what the socket holds and does what is due.
+    /// Runs an iteration of the process's event loop: handles the queued datagrams, expired timers and engine events,
+    /// saves pending state and checks the invariants. Does nothing without a process or while it is stalled.
     ///
     /// # Errors
     ///
-    /// Where an invariant is violated.
+    /// Returns the first violated invariant.
     pub fn process(&mut self, now: Moment) -> Result<(), InvariantError> {
         let Some(process) = self.process.as_mut().filter(|_| !self.stalled) else { return Ok(()) };
         let local_now = process.clock.read(now);
@@ -173,21 +175,21 @@
         }
         process.engine.process(local_now);
         let max_invites = match self.config.controller.max_invites {
-            0 => DEFAULT_MAX_INVITES,
-            configured => configured.min(DEFAULT_MAX_INVITES),
+            0 => MAX_INVITES,
+            configured => configured.min(MAX_INVITES),
         };
         let tracked = process.handle_events(local_now, max_invites, &mut self.logs);
         if let Some((_, endpoints)) = process.pending_save.take_if(|(time, _)| *time <= local_now) {
-            // A full disk keeps what it had; the next change is saved again.
+            // A save to a full disk fails and is not retried; the next change is saved again.
             let _ = store::save(&mut self.disk, &endpoints);
         }
         process.record_status(local_now, &mut self.logs);
-        let idle_limit = self.config.controller.resend_delay * 2 + IDLE_GRACE;
+        let idle_limit = self.config.controller.resend_delay * 2 + SERVER_START_GRACE;
         process.check_invariants(now, idle_limit, &self.config.name)?;
         tracked
     }
 
-    /// The true time at which it wants to be called.
+    /// Returns the true time of the process's next timeout; `None` without a process or while it is stalled.
     pub fn poll_timeout(&self, now: Moment) -> Option<Moment> {
         let process = self.process.as_ref().filter(|_| !self.stalled)?;
         let save = process.pending_save.as_ref().map(|(time, _)| *time);
@@ -195,14 +197,15 @@
         timeouts.into_iter().flatten().min().map(|time| process.clock.true_time(time, now))
     }
 
-    /// The event logs of all processes.
+    /// Returns the event logs of all processes.
     pub fn into_logs(self) -> impl Iterator<Item = Log> {
         self.logs.into_iter().flatten().map(EventLog::into_log)
     }
 }
 
 impl FrontProcess {
-    /// Follows what the engine says that it did; the first contradiction, after all events were handled.
+    /// Handles all events that the engine emitted. Returns the first one that contradicts the tracked sessions, after
+    /// all were handled.
     fn handle_events(
         &mut self,
         local_now: Moment,
@@ -243,8 +246,8 @@
 
     fn check_invariants(&mut self, now: Moment, idle_limit: Span, front: &str) -> Result<(), InvariantError> {
         let error = |subject: &str, cause| Err(InvariantError { subject: subject.to_owned(), cause });
-        if self.calls.count(now) > MAX_CALLS_AT_ONCE {
-            return error(front, ViolationCause::EndlessLoop { limit: MAX_CALLS_AT_ONCE });
+        if self.iterations.count(now) > MAX_ITERATIONS_AT_ONE_TIME {
+            return error(front, ViolationCause::EndlessLoop { limit: MAX_ITERATIONS_AT_ONE_TIME });
         }
         if let Some(attempt) = self.sessions.idle_session(self.clock.read(now), idle_limit) {
             return error(attempt, ViolationCause::SessionIdle { limit: idle_limit });
@@ -257,7 +260,7 @@
     }
 }
 
-/// Appends to the log of the process that runs, where logs are kept.
+/// Appends an event to the log of the latest process, if logs are recorded.
 fn record(logs: &mut Option<Vec<EventLog>>, local_now: Moment, what: What) {
     if let Some(log) = logs.as_mut().and_then(|logs| logs.last_mut()) {
         log.append(local_now, what);
--- a/crates/ochrelead-sim/src/generator.rs
+++ b/crates/ochrelead-sim/src/generator.rs
@@ -1,5 +1,5 @@
-//! Scenarios with faults, generated from a seed. Each seed turns most kinds of fault off and some up: what one kind
-//! would hide of another shows in a scenario that has only the other.
+//! Generates scenarios with faults from a seed. Each seed enables only a few kinds of fault, so that a failure that one
+//! kind would mask shows in a scenario without that kind.
 
 mod conflicts;
 
@@ -12,15 +12,15 @@
 
 use crate::error::InvalidDocument;
 
-/// The share of scenarios in which a kind of fault may come at all.
+/// The share of scenarios in which a given kind of fault is enabled.
 const FAULT_KIND_SHARE: f64 = 0.25;
-/// How often it then comes at the most.
+/// Maximum number of faults of an enabled kind.
 const MAX_FAULTS_OF_A_KIND: u32 = 3;
 
-/// A scenario as its file has it.
+/// A scenario in the schema of its file.
 pub type ScenarioFile = schema::Day;
 
-/// What a fault can strike.
+/// The numbers of participants that faults can target.
 #[derive(Clone, Copy)]
 struct Targets {
     fronts: u32,
@@ -34,7 +34,7 @@
     let length_ms = *[4_000_u32, 6_000, 9_000].choose(rng).unwrap_or(&6_000);
     let (fronts, servers) = (rng.random_range(1..=5_u32), rng.random_range(1..=4_u32));
     let per_server = rng.random_range(8.0..30.0);
-    // From idle to more than all servers can carry.
+    // Offered load as a multiple of the servers' total rate: from mostly idle to overload.
     let load = rng.random_range(0.2..1.4);
     let tenants = rng.random_range(0..=2_usize);
     let targets = Targets { fronts, servers, tenants: tenants as u32 };
@@ -51,16 +51,16 @@
     }
 }
 
-/// Checks a scenario's file.
+/// Validates a scenario file.
 ///
 /// # Errors
 ///
-/// All that is wrong with it.
+/// Returns all diagnostics if the file is invalid.
 pub fn parse(file: &ScenarioFile) -> Result<Scenario, InvalidDocument> {
     scenario::parse("schedule", &to_text(file)).map_err(InvalidDocument::from)
 }
 
-/// The text of a scenario's file.
+/// Formats a scenario file as text.
 pub fn to_text(file: &ScenarioFile) -> String {
     document::to_text(file, "Day")
 }
@@ -170,7 +170,7 @@
     faults
 }
 
-/// How many targets a kind of fault can choose among; 0 where it has none.
+/// Returns the number of possible targets of a kind of fault; 0 if the kind has no targets.
 fn target_count(kind: FaultKind, targets: Targets) -> u32 {
     match kind {
         FaultKind::Surge | FaultKind::HotNumber | FaultKind::AllSlow => 0,
--- a/crates/ochrelead-sim/src/generator/conflicts.rs
+++ b/crates/ochrelead-sim/src/generator/conflicts.rs
@@ -1,11 +1,11 @@
-//! Faults that may not come together in one scenario.
+//! Removes faults that must not occur together in one scenario.
 
 use ochrelead_config::schema;
 
-/// For so long after its end a fault still counts as under way.
+/// Time after its end for which a fault still counts as active.
 const SETTLING_MS: u32 = 50;
 
-/// What a fault does to its target that no other fault may do at the same time.
+/// An effect on a target that only one fault at a time may have.
 #[derive(Clone, Copy, PartialEq)]
 enum ExclusiveEffect {
     FrontProcess,
@@ -13,7 +13,7 @@
     ServerPace,
 }
 
-/// All faults that do not conflict with one before them.
+/// Returns the faults that do not conflict with an earlier one that is kept.
 pub(super) fn without_conflicts(faults: Vec<schema::Trouble>) -> Vec<schema::Trouble> {
     let mut kept: Vec<schema::Trouble> = Vec::new();
     for fault in faults {
@@ -24,16 +24,18 @@
     kept
 }
 
+/// Returns whether two faults must not occur in the same scenario.
 fn conflict(one: &schema::Trouble, other: &schema::Trouble) -> bool {
-    have_same_effect(one, other)
-        || slows_a_starting_server(one, other)
-        || slows_a_starting_server(other, one)
-        || loses_state(one, other)
-        || loses_state(other, one)
+    have_same_exclusive_effect(one, other)
+        || slows_restarting_server(one, other)
+        || slows_restarting_server(other, one)
+        || loses_announcements(one, other)
+        || loses_announcements(other, one)
 }
 
-/// A process is killed or stalled once at a time.
-fn have_same_effect(one: &schema::Trouble, other: &schema::Trouble) -> bool {
+/// Returns whether two faults that overlap in time have the same exclusive effect on the same targets: for example,
+/// a process is not killed and stalled at once.
+fn have_same_exclusive_effect(one: &schema::Trouble, other: &schema::Trouble) -> bool {
     let end_ms = |fault: &schema::Trouble| fault.at_ms() + fault.length_ms() + SETTLING_MS;
     let overlap = one.at_ms() < end_ms(other) && other.at_ms() < end_ms(one);
     let effect = exclusive_effect(one);
@@ -49,9 +51,9 @@
     }
 }
 
-/// A server that has just started is slow by that. What would slow it besides in that moment would push it over by
-/// set-ups that are out already: no front can know.
-fn slows_a_starting_server(slow: &schema::Trouble, restart: &schema::Trouble) -> bool {
+/// Returns whether a server is slowed by another fault when it restarts. A server that has just started is already
+/// slow; a second slowdown would overload it with set-ups that are already in flight, which no front can foresee.
+fn slows_restarting_server(slow: &schema::Trouble, restart: &schema::Trouble) -> bool {
     let starts = matches!(restart.kind.as_deref(), Some("crash" | "vanish" | "replaced"));
     let slows = match slow.kind.as_deref() {
         Some("all_slow") => true,
@@ -61,8 +63,9 @@
     starts && slows && slow.at_ms() + slow.length_ms() > restart.at_ms()
 }
 
-/// A front that is killed after its disk was full can't know what servers announced in between.
-fn loses_state(full: &schema::Trouble, killed: &schema::Trouble) -> bool {
+/// Returns whether a front is killed after its disk was full. Such a front can't know what servers announced in
+/// between, because that state could not be saved.
+fn loses_announcements(full: &schema::Trouble, killed: &schema::Trouble) -> bool {
     full.kind.as_deref() == Some("disk_full")
         && killed.kind.as_deref() == Some("front_killed")
         && full.which == killed.which
--- a/crates/ochrelead-sim/src/lib.rs
+++ b/crates/ochrelead-sim/src/lib.rs
@@ -1,16 +1,18 @@
-//! The network code on a virtual clock.
+//! Deterministic simulation of fronts, servers and callers on a virtual clock.
 //!
-//! The engines of fronts, servers and callers run as they are, in one thread, on one queue of events. Nothing here
-//! reads a clock or takes randomness from elsewhere than the seed: the same scenario gives the same events to the byte.
+//! The unmodified engines of fronts, servers and callers run in one thread on one event queue. Nothing here reads a real
+//! clock or takes randomness from anything but the seed: the same scenario gives byte-identical events.
 //!
-//! - [`world`]: parties, network, clocks and disks on one queue; [`world::World::step`] does the next thing.
-//! - [`front`]: a front's machine and process: engine, clock, disk, and what a kill leaves of them.
-//! - [`disk`]: a disk in memory that fills up and tears; [`clock`]: a system clock that is off, drifts and is set.
-//! - [`session_tracker`]: follows a front's sessions by its events; [`violation`]: invariants that do not hold.
-//! - [`mod@run`]: a whole scenario, and what came of it; [`mutation`]: what is wrong on purpose, to see that it is found.
-//! - [`generator`]: scenarios with faults from a seed; [`mod@shrink`]: the smallest one that still shows a violation.
-//! - [`experiment`]: grids of scenarios, their table and their plots.
-//! - [`error`]: why a scenario can't be simulated.
+//! - [`world`]: participants, network, clocks and disks on one event queue; [`world::World::step`] handles the next
+//!   event.
+//! - [`front`]: a front's machine and process: engine, clock, disk, and the state that survives a kill.
+//! - [`disk`]: an in-memory disk that fills up and tears writes; [`clock`]: a system clock with offset, drift and steps.
+//! - [`session_tracker`]: tracks a front's sessions by its events; [`violation`]: violated invariants.
+//! - [`mod@run`]: simulates and audits a scenario; [`mutation`]: deliberate faults that the simulation must detect.
+//! - [`generator`]: generates scenarios with faults from a seed; [`mod@shrink`]: reduces a scenario that violates an
+//!   invariant.
+//! - [`experiment`]: grids of scenarios, with result table and plot.
+//! - [`error`]: errors that prevent a simulation.
 //!
 //! ```
 //! use ochrelead_scenario::policy::PolicyKind;
--- a/crates/ochrelead-sim/src/main.rs
+++ b/crates/ochrelead-sim/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `ochrelead-sim`.
+//! The command-line program `ochrelead-sim`.
 
 mod commands;
 
@@ -10,9 +10,9 @@
 use clap::{Parser, Subcommand};
 use thiserror::Error;
 
-/// Plays days with the front's own engines on a virtual clock: seeded faults, exact replay.
+/// Simulates scenarios with the front's engines on a virtual clock, with seeded faults and exact replay.
 ///
-/// Exits with 0 where nothing was found, 1 where something was, 2 for usage and settings.
+/// Exits with 0 on success, 1 if a violation or a diagnosis error was found, 2 for invalid usage or settings.
 #[derive(Parser)]
 #[command(
     version,
@@ -26,70 +26,70 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play the days of many seeds on all cores
+    /// Simulate the generated scenarios of a range of seeds
     Explore {
-        /// From, and up to but not with
+        /// The first seed, and the end of the range (exclusive)
         #[arg(long, value_name = "A..B", value_parser = seed_range)]
         seeds: Range<u64>,
         #[arg(long, default_value_t = 0, value_name = "COUNT", help = "Threads; 0 for one per core")]
         threads: usize,
     },
-    /// Play one seed's day again, or a schedule's file, and tell what happened
+    /// Simulate the scenario of one seed or file again, and print the result
     Replay {
-        /// A seed, or a file
+        /// A seed, or a scenario file
         #[arg(value_name = "OF")]
         source: String,
-        /// Every event, one line each
+        /// Write every event to this file, one line each
         #[arg(long, value_name = "FILE")]
         trace: Option<PathBuf>,
-        /// Stop at this event
+        /// Print the last events up to this one
         #[arg(long)]
         step: Option<u64>,
     },
-    /// The fewest faults that still break the same thing
+    /// Reduce a scenario to fewer faults that still violate the same invariant
     Shrink {
         #[arg(value_name = "OF")]
         source: String,
-        /// Where the schedule goes
+        /// The file for the reduced scenario
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Play a scripted day with all policies
+    /// Simulate a scripted scenario with all policies
     Play {
         #[arg(value_name = "DAY")]
         scenario: PathBuf,
-        /// Where the module's fronts leave their records, for report and console
+        /// The folder for the event logs of the module's fronts, for report and console
         #[arg(long, value_name = "DIR")]
         records: Option<PathBuf>,
-        /// Leave out the textbooks
+        /// Simulate the module only, without the baseline policies
         #[arg(long)]
         alone: bool,
     },
-    /// How well the diagnosis finds what the scripts of days did, over many seeds
+    /// Compare the faults that the diagnosis detects with the scripted ones, over a range of seeds
     Found {
         #[arg(value_name = "DAYS", required = true)]
         scenarios: Vec<PathBuf>,
         #[arg(long, value_name = "A..B", value_parser = seed_range)]
         seeds: Range<u64>,
-        /// Set the fronts' clocks wrong and cut out a tenth of the records first
+        /// Before the diagnosis, offset the fronts' clocks and remove a tenth of the records
         #[arg(long)]
         marred: bool,
     },
-    /// Play a grid of days and write what came of it
+    /// Simulate a grid of scenarios and write the results
     Experiment {
         grid: PathBuf,
-        /// The table; plots go beside it
+        /// The file for the result table; the plot has the same name with the extension svg
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
 }
 
-/// A range of seeds that can't be read.
+/// An invalid range of seeds.
 #[derive(Debug, Error)]
 enum SeedRangeError {
-    #[error("two seeds with .. between")]
+    #[error("expected two seeds separated by .., such as 0..100")]
     NotARange,
-    #[error("{text}: {source}")]
+    #[error("invalid seed {text:?}: {source}")]
     InvalidSeed { text: String, source: ParseIntError },
 }
 
--- a/crates/ochrelead-sim/src/run.rs
+++ b/crates/ochrelead-sim/src/run.rs
@@ -1,4 +1,4 @@
-//! Simulates a whole scenario, and judges it.
+//! Simulates a complete scenario, checks the invariants and audits the captured datagrams.
 
 use ochrelead_config::scenario::Scenario;
 use ochrelead_core::time::{Moment, Span};
@@ -9,39 +9,39 @@
 use crate::error::SimulationError;
 use crate::mutation::{Mutation, NoMutation};
 use crate::violation::{Violation, ViolationCause};
-use crate::world::{LEAD, RecordingOptions, World};
+use crate::world::{RecordingOptions, SCENARIO_DELAY, World};
 
-/// The most lines of [`Outcome::context`].
+/// Maximum number of lines in [`Outcome::context`].
 const MAX_CONTEXT_LINES: usize = 40;
-/// The auditor's times fit to a step's by this much.
+/// Tolerance when a violation's time from the auditor is matched with the capture times.
 const TIME_TOLERANCE: Span = Span::from_micros(1);
 
-/// What came of a scenario.
+/// The result of a simulated scenario.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// How many steps were simulated.
+    /// The number of simulated steps.
     pub steps: u64,
-    /// The checksum of all events.
+    /// The checksum over all events.
     pub checksum: u32,
     /// The first violated invariant.
     pub violation: Option<Violation>,
-    /// What was served, where datagrams were recorded.
+    /// The service level; the default value if datagrams were not recorded.
     pub service: ServiceLevel,
-    /// The simulated seconds, without those after the scenario's end.
+    /// Simulated time in seconds, capped at the duration of the scenario.
     pub simulated_s: f64,
-    /// Every event as a line, where the trace was recorded.
+    /// The trace, one line per event; empty if it was not recorded.
     pub trace: String,
-    /// The event logs of all processes of fronts, where they were recorded.
+    /// The event logs of all front processes; empty if they were not recorded.
     pub logs: Vec<Log>,
-    /// The last datagrams that concern the violation, one line each.
+    /// The last datagrams related to the violation, one line each.
     pub context: Vec<String>,
 }
 
-/// Simulates a scenario with the program as it is.
+/// Simulates a scenario without mutations.
 ///
 /// # Errors
 ///
-/// Where the simulation can't begin.
+/// Returns an error if the simulation can't start.
 pub fn run(
     scenario: &Scenario,
     policy_kind: PolicyKind,
@@ -50,11 +50,11 @@
     run_mutated(scenario, policy_kind, options, Box::new(NoMutation))
 }
 
-/// Simulates a scenario with something changed on purpose.
+/// Simulates a scenario with a deliberate fault.
 ///
 /// # Errors
 ///
-/// Where the simulation can't begin.
+/// Returns an error if the simulation can't start.
 pub fn run_mutated(
     scenario: &Scenario,
     policy_kind: PolicyKind,
@@ -72,13 +72,13 @@
     if options.datagrams && !world.datagrams().is_empty() {
         let verdict = audit::audit(scenario, world.datagrams());
         outcome.service = verdict.service_level;
-        let breach = verdict.violations.into_iter().next().map(|breach| Violation {
-            step: world.step_at(breach.time),
-            time: breach.time,
-            subject: breach.subject,
-            cause: ViolationCause::Rule { rule: breach.rule.number(), detail: breach.description },
+        let audit_violation = verdict.violations.into_iter().next().map(|first| Violation {
+            step: world.step_at(first.time),
+            time: first.time,
+            subject: first.subject,
+            cause: ViolationCause::Rule { rule: first.rule.number(), detail: first.description },
         });
-        violation = earlier(violation, breach);
+        violation = earlier(violation, audit_violation);
         outcome.context = violation.as_ref().map_or_else(Vec::new, |violation| context(&world, violation));
     }
     outcome.violation = violation;
@@ -86,9 +86,9 @@
     Ok(outcome)
 }
 
-/// Simulates to the end, or to the first violation.
+/// Simulates to the end of the scenario or, with the module's policy, to the first violation.
 fn run_steps(world: &mut World, policy_kind: PolicyKind) -> Option<Violation> {
-    // The baselines keep no limits: their scenarios run to the end whatever they violate.
+    // Baseline policies do not respect the limits: their scenarios run to the end despite violations.
     let is_checked = policy_kind == PolicyKind::Controller;
     while let Some(result) = world.step() {
         if let Err(violation) = result
@@ -100,28 +100,31 @@
     if is_checked { world.check_unclaimed_calls().err() } else { None }
 }
 
-/// The auditor's violation where it is earlier: what came first is the cause, or nearer to it.
-fn earlier(violation: Option<Violation>, breach: Option<Violation>) -> Option<Violation> {
-    match (violation, breach) {
-        (Some(violation), Some(breach)) if breach.time < violation.time => Some(breach),
-        (None, breach) => breach,
+/// Returns the earlier of the simulation's and the auditor's violation, because the earlier one is closer to the
+/// cause.
+fn earlier(violation: Option<Violation>, audit_violation: Option<Violation>) -> Option<Violation> {
+    match (violation, audit_violation) {
+        (Some(violation), Some(audit_violation)) if audit_violation.time < violation.time => {
+            Some(audit_violation)
+        }
+        (None, audit_violation) => audit_violation,
         (violation, _) => violation,
     }
 }
 
-/// The last datagrams that name the subject of a violation, and what the script did.
+/// Returns the last datagrams that contain the subject of a violation, together with the marks of scripted events.
 fn context(world: &World, violation: &Violation) -> Vec<String> {
-    let start = world.datagrams().first().map_or(Moment::START, |datagram| datagram.time) + LEAD;
+    let start = world.datagrams().first().map_or(Moment::START, |datagram| datagram.time) + SCENARIO_DELAY;
     let until = start + violation.time.since(Moment::START) + TIME_TOLERANCE;
     let datagrams = world.datagrams().iter().filter(|datagram| datagram.time <= until);
     let lines = datagrams.filter_map(|datagram| {
         let text = String::from_utf8_lossy(&datagram.bytes);
-        let is_concerned = text.contains(&violation.subject) || datagram.from == datagram.to;
+        let is_related = text.contains(&violation.subject) || datagram.from == datagram.to;
         let ms = datagram.time.since(start).micros() as f64 / 1e3;
         let direction = if datagram.delivered { "reached" } else { "left" };
         let first_line = text.lines().next().unwrap_or("");
         let (from, to) = (datagram.from, datagram.to);
-        is_concerned.then(|| format!("{ms:>10.3} ms {direction:>7} {from:?} to {to:?}: {first_line}"))
+        is_related.then(|| format!("{ms:>10.3} ms {direction:>7} {from:?} to {to:?}: {first_line}"))
     });
     let lines: Vec<String> = lines.collect();
     lines[lines.len().saturating_sub(MAX_CONTEXT_LINES)..].to_vec()
--- a/crates/ochrelead-sim/src/session_tracker.rs
+++ b/crates/ochrelead-sim/src/session_tracker.rs
@@ -1,4 +1,4 @@
-//! Follows a front's sessions by its events, and finds events that contradict each other.
+//! Tracks a front's sessions by the events that its engine emits, and detects events in an invalid order.
 
 use std::collections::BTreeMap;
 
@@ -6,71 +6,71 @@
 use ochrelead_front::events::SessionStep;
 use thiserror::Error;
 
-/// The phase of a session, by the front's events.
+/// The phase of a session, derived from the front's events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionPhase {
-    /// No INVITE is out.
+    /// No INVITE is outstanding.
     Waiting,
-    /// An INVITE is out.
+    /// An INVITE is outstanding.
     Inviting,
     /// The call is established.
     Established,
 }
 
-/// An event of a session that can't follow those before it.
+/// An event that is invalid after the session's previous events.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum SessionEventError {
-    /// The event does not fit to the session's phase.
+    /// The event is invalid in the session's phase.
     #[error("{event} while {phase:?}")]
     UnexpectedEvent {
-        /// The event.
+        /// The name of the event, as printed in a violation.
         event: &'static str,
-        /// The phase before it; none where the session is unknown.
+        /// The phase before the event; `None` if the session is unknown.
         phase: Option<SessionPhase>,
     },
-    /// The INVITE does not fit to the session's phase, or is numbered wrong.
+    /// The INVITE is invalid in the session's phase, or its number is out of sequence.
     #[error("INVITE {attempt} while {phase:?}, the {invites}th")]
     UnexpectedInvite {
-        /// Which INVITE it is, as the event says.
+        /// The number of the INVITE within its session, as given by the event.
         attempt: u32,
-        /// The phase before it.
+        /// The phase before the event.
         phase: SessionPhase,
-        /// The INVITEs of the session with this one.
+        /// The number of INVITEs of the session, including this one.
         invites: u32,
     },
-    /// The session has more INVITEs than it may.
+    /// The session has sent more INVITEs than allowed.
     #[error("{invites} INVITEs where {limit} are the most")]
     TooManyInvites {
-        /// The INVITEs of the session with this one.
+        /// The number of INVITEs of the session, including this one.
         invites: u32,
-        /// The most that a session may have.
+        /// The maximum number of INVITEs per session.
         limit: u32,
     },
 }
 
-/// A session that has begun and has not ended.
+/// A session that has been accepted and has not ended.
 #[derive(Clone, Debug)]
 struct TrackedSession {
     phase: SessionPhase,
     invites: u32,
-    /// Since when no INVITE has been out, while none is.
+    /// Start of the current period without an outstanding INVITE; `None` in the other phases.
     idle_since: Option<Moment>,
 }
 
-/// The sessions of one process of a front.
+/// The sessions of one front process.
 #[derive(Clone, Debug, Default)]
 pub struct SessionTracker {
-    /// By the id of the caller's attempt.
+    /// Keyed by the id of the caller's attempt.
     sessions: BTreeMap<String, TrackedSession>,
 }
 
 impl SessionTracker {
-    /// Applies an event of a session.
+    /// Applies an event of the session of `attempt`.
     ///
     /// # Errors
     ///
-    /// Where the event can't follow those before it.
+    /// Returns an error if the event is invalid after the session's previous events.
     pub fn apply(
         &mut self,
         now: Moment,
@@ -88,14 +88,15 @@
         applied
     }
 
-    /// A session for which no INVITE has been out for longer than that, though it has no answer yet.
+    /// Returns a session that is neither established nor ended and has had no outstanding INVITE for longer than
+    /// `limit`.
     pub fn idle_session(&self, now: Moment, limit: Span) -> Option<&str> {
         let is_idle =
             |session: &TrackedSession| session.idle_since.is_some_and(|since| now.since(since) > limit);
         self.sessions.iter().find(|(_, session)| is_idle(session)).map(|(attempt, _)| attempt.as_str())
     }
 
-    /// How many sessions there are.
+    /// Returns the number of sessions that have not ended.
     pub fn session_count(&self) -> usize {
         self.sessions.len()
     }
@@ -108,7 +109,7 @@
     ) -> Result<(), SessionEventError> {
         match step {
             SessionStep::Accepted { .. } => self.begin(attempt),
-            SessionStep::Invited { attempt: number, .. } => self.invite(attempt, *number, max_invites),
+            SessionStep::Invited { attempt: number, .. } => self.start_invite(attempt, *number, max_invites),
             SessionStep::InviteEnded { .. } => {
                 self.end_invite(attempt, SessionPhase::Waiting, "an INVITE ended")
             }
@@ -135,7 +136,7 @@
         Ok(())
     }
 
-    fn invite(&mut self, attempt: &str, number: u32, limit: u32) -> Result<(), SessionEventError> {
+    fn start_invite(&mut self, attempt: &str, number: u32, limit: u32) -> Result<(), SessionEventError> {
         let Some(session) = self.sessions.get_mut(attempt) else {
             return Err(self.unexpected(attempt, "INVITE"));
         };
--- a/crates/ochrelead-sim/src/shrink.rs
+++ b/crates/ochrelead-sim/src/shrink.rs
@@ -1,20 +1,20 @@
-//! Finds the smallest scenario that still violates the same invariant.
+//! Shrinks a scenario to a smaller one that still violates the same invariant.
 
 use crate::generator::{ScenarioFile, parse};
 
-/// No scenario is shortened below this.
+/// The shortest duration that shrinking tries.
 const MIN_LENGTH_MS: u32 = 500;
 
-/// What shrinking came to.
+/// The result of shrinking.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shrunk {
-    /// The smallest scenario that still reproduces the violation.
+    /// The smallest scenario found that reproduces the violation.
     pub scenario: ScenarioFile,
-    /// How many scenarios were tried.
+    /// The number of candidates that were simulated.
     pub tries: usize,
 }
 
-/// Tries ever smaller scenarios, at most `max_tries` of them, and keeps those that reproduce the violation.
+/// Tries up to `max_tries` successively smaller scenarios, and keeps each one that reproduces the violation.
 pub fn shrink(
     scenario: &ScenarioFile,
     max_tries: usize,
@@ -26,7 +26,7 @@
         let before = search.smallest.scenario.clone();
         search.remove_faults();
         for candidate in simplifications(&search.smallest.scenario) {
-            search.attempt(candidate);
+            search.try_candidate(candidate);
         }
         if search.smallest.scenario == before || search.smallest.tries >= max_tries {
             return search.smallest;
@@ -41,8 +41,9 @@
 }
 
 impl<F: FnMut(&ScenarioFile) -> bool> Search<F> {
-    /// Keeps the candidate if it reproduces the violation, and says whether it does.
-    fn attempt(&mut self, candidate: ScenarioFile) -> bool {
+    /// Keeps the candidate if it reproduces the violation, and returns whether it does. Skips candidates that are
+    /// unchanged or invalid.
+    fn try_candidate(&mut self, candidate: ScenarioFile) -> bool {
         let Shrunk { scenario, tries } = &mut self.smallest;
         if *tries >= self.max_tries || candidate == *scenario || parse(&candidate).is_err() {
             return false;
@@ -55,29 +56,30 @@
         reproduced
     }
 
-    /// Removes faults: by halves, then one by one.
+    /// Removes runs of consecutive faults, beginning with half of them and halving the run length down to one.
     fn remove_faults(&mut self) {
-        let mut size = self.smallest.scenario.trouble.len().div_ceil(2);
-        while size > 0 {
-            self.remove_runs_of(size);
-            size = if size == 1 { 0 } else { size.div_ceil(2) };
+        let mut run_length = self.smallest.scenario.trouble.len().div_ceil(2);
+        while run_length > 0 {
+            self.remove_runs_of(run_length);
+            run_length = if run_length == 1 { 0 } else { run_length.div_ceil(2) };
         }
     }
 
-    fn remove_runs_of(&mut self, size: usize) {
+    /// Tries to remove each run of `run_length` consecutive faults.
+    fn remove_runs_of(&mut self, run_length: usize) {
         let mut first = 0;
         while first < self.smallest.scenario.trouble.len() {
             let mut candidate = self.smallest.scenario.clone();
-            let end = (first + size).min(candidate.trouble.len());
+            let end = (first + run_length).min(candidate.trouble.len());
             candidate.trouble.drain(first..end);
-            if !self.attempt(candidate) {
-                first += size;
+            if !self.try_candidate(candidate) {
+                first += run_length;
             }
         }
     }
 }
 
-/// The same scenario with one thing less to explain the violation.
+/// Returns variants of the scenario, each with one simplification.
 fn simplifications(scenario: &ScenarioFile) -> Vec<ScenarioFile> {
     let network = scenario.network.unwrap_or_default();
     let changes: [&dyn Fn(&mut ScenarioFile); 9] = [
--- a/crates/ochrelead-sim/src/violation.rs
+++ b/crates/ochrelead-sim/src/violation.rs
@@ -1,4 +1,4 @@
-//! What a simulation finds: an invariant that does not hold.
+//! Violations of invariants that a simulation detects.
 
 use std::fmt;
 
@@ -7,20 +7,20 @@
 
 use crate::session_tracker::SessionEventError;
 
-/// The kind of an invariant. Shrinking keeps to it.
+/// The kind of a violated invariant. A shrunk scenario must reproduce a violation of the same kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum ViolationKind {
-    /// A front's events contradict each other or its load, or it does not go on.
+    /// A front's events contradict each other or its reported load, or the front makes no progress.
     Bookkeeping,
-    /// A call is established at a server, and nobody knows it.
+    /// A call is established at a server, but no front or caller has a session for it.
     UnclaimedCall,
-    /// A rule of the auditor, counted from 1.
+    /// A rule of the auditor, numbered from 1.
     Rule(usize),
 }
 
 impl fmt::Display for ViolationKind {
-    /// The names that are printed, and written into tables and shrunk scenarios.
+    /// Writes the name that is printed and stored in result tables and shrunk scenarios.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ViolationKind::Bookkeeping => f.write_str("books"),
@@ -34,47 +34,47 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum ViolationCause {
-    /// A front's events of a session contradict each other.
+    /// A front's events for a session are in an invalid order.
     #[error(transparent)]
     Session(#[from] SessionEventError),
-    /// A front wants to be called again and again without time passing.
+    /// A front requests another iteration of its event loop too often without time passing.
     #[error("{limit} turns at one moment")]
     EndlessLoop {
-        /// How often a front may be called at one moment.
+        /// The maximum number of iterations at one point in time.
         limit: u32,
     },
-    /// Nothing has been under way for a session for too long.
+    /// A session that awaits its outcome has had no outstanding INVITE for too long.
     #[error("nothing is under way for it for {} ms", limit.micros() / 1_000)]
     SessionIdle {
-        /// How long nothing may be under way.
+        /// The longest time that a session may have no outstanding INVITE.
         limit: Span,
     },
-    /// A front's load differs from what its events say.
+    /// The number of sessions in a front's load report differs from the number tracked from its events.
     #[error("{reported} sessions held where the notes say {tracked}")]
     SessionCount {
-        /// The sessions of the front's load.
+        /// The number of sessions in the load report.
         reported: usize,
-        /// The sessions by its events.
+        /// The number of sessions tracked from the events.
         tracked: usize,
     },
-    /// A call is established at a server at the end, and nobody knows it.
+    /// At the end of the scenario a call is established at a server, but no front or caller has a session for it.
     #[error("it still stands at {server}, and neither front nor caller knows it")]
     UnclaimedCall {
         /// The name of the server.
         server: String,
     },
-    /// The auditor found a rule broken.
+    /// The auditor reported a violated rule.
     #[error("{detail}")]
     Rule {
-        /// The rule, counted from 1.
+        /// The rule, numbered from 1.
         rule: usize,
-        /// What the auditor says of it.
+        /// The auditor's description of the violation.
         detail: String,
     },
 }
 
 impl ViolationCause {
-    /// Its kind.
+    /// Returns the kind of the violated invariant.
     pub fn kind(&self) -> ViolationKind {
         match self {
             ViolationCause::Session(_)
@@ -87,31 +87,31 @@
     }
 }
 
-/// A violated invariant, before it is known at which step of the simulation that was.
+/// A violated invariant, without the simulation step at which it was detected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{subject}: {cause}")]
 pub struct InvariantError {
-    /// The attempt, front or server concerned.
+    /// The id of the attempt, or the name of the front or server, that is affected.
     pub subject: String,
     /// How the invariant was violated.
     pub cause: ViolationCause,
 }
 
-/// A violated invariant.
+/// A violated invariant, with the step and time at which it was detected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The step of the simulation that showed it.
+    /// The simulation step at which the violation was detected.
     pub step: u64,
-    /// When that was, counted from the start of the scenario.
+    /// Simulated time of the violation, relative to the start of the scenario.
     pub time: Moment,
-    /// The attempt, front or server concerned.
+    /// The id of the attempt, or the name of the front or server, that is affected.
     pub subject: String,
     /// How the invariant was violated.
     pub cause: ViolationCause,
 }
 
 impl Violation {
-    /// Its kind.
+    /// Returns the kind of the violated invariant.
     pub fn kind(&self) -> ViolationKind {
         self.cause.kind()
     }
--- a/crates/ochrelead-sim/src/world.rs
+++ b/crates/ochrelead-sim/src/world.rs
@@ -1,4 +1,4 @@
-//! Fronts, servers, callers and the network between them on one queue of events.
+//! The simulated system: fronts, servers, callers and the network between them on one event queue.
 
 mod alarms;
 mod recorder;
@@ -32,32 +32,32 @@
 use recorder::{Recorder, Step};
 use script::ScriptedEvent;
 
-/// How long everything is up before the scenario starts.
-pub const LEAD: Span = Span::from_millis(700);
-/// When everything comes up: far from zero, so that a clock may be behind.
-pub const START: Moment = Moment::from_micros(1_700_000_000_000_000);
-/// Mixed into the scenario's seed for what the fronts draw.
+/// Time between the start of all participants and the start of the scenario.
+pub const SCENARIO_DELAY: Span = Span::from_millis(700);
+/// Simulated time at which all participants start. It is far from zero, so that a system clock can be set back.
+pub const START_TIME: Moment = Moment::from_micros(1_700_000_000_000_000);
+/// XORed into the scenario's seed to seed the generator of the fronts' random values.
 const FRONT_SEED_SALT: u64 = 0x0c4_1ead;
 
-/// What is kept of a simulation.
+/// Selects the recordings of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RecordingOptions {
-    /// Every datagram, for the auditor.
+    /// Capture every datagram, for the auditor.
     pub datagrams: bool,
-    /// Every event as a line.
+    /// Record a trace with one line per event.
     pub trace: bool,
-    /// The fronts' event logs.
+    /// Record the fronts' event logs.
     pub event_logs: bool,
 }
 
-/// A scenario while it is simulated.
+/// The state of a simulated scenario.
 pub struct World {
     scenario: Scenario,
     step: Step,
     policy_kind: PolicyKind,
     mutation: Box<dyn Mutation>,
     fronts: Vec<FrontMachine>,
-    /// None while a server's process is killed.
+    /// By index; `None` while the server's process is killed.
     servers: Vec<Option<Server>>,
     callers: Callers,
     network: Network<Participant>,
@@ -69,9 +69,9 @@
     finished: bool,
 }
 
-/// The address at which the others see a party.
-fn address(party: Participant) -> SocketAddr {
-    party.capture_address().into()
+/// Returns the address that other participants use for a participant.
+fn address(participant: Participant) -> SocketAddr {
+    participant.capture_address().into()
 }
 
 fn front(index: usize) -> Participant {
@@ -83,49 +83,53 @@
 }
 
 impl World {
-    /// A world before its scenario starts.
+    /// Creates the participants of a scenario and starts them.
     ///
     /// # Errors
     ///
-    /// Where the scenario gives no valid configuration for a front, or an invariant is violated already.
+    /// Returns an error if the scenario yields an invalid front configuration, or if an invariant is violated while the
+    /// participants start.
     pub fn new(
         scenario: &Scenario,
         policy_kind: PolicyKind,
         mutation: Box<dyn Mutation>,
         options: RecordingOptions,
     ) -> Result<World, SimulationError> {
-        let start = START + LEAD;
+        let start = START_TIME + SCENARIO_DELAY;
         let mut fronts = Vec::new();
         for index in 0..scenario.fronts {
             let mut config = setup::front_config(scenario, index)?;
             mutation.change_config(&mut config);
             fronts.push(FrontMachine::new(config, options.event_logs));
         }
-        let emulated_server = |index| Some(setup::emulated_server(scenario, index, START, false));
-        let parties = (0..scenario.fronts).map(front).chain((0..scenario.servers.len()).map(server));
+        let emulated_server = |index| Some(setup::emulated_server(scenario, index, START_TIME, false));
+        let participants = (0..scenario.fronts).map(front).chain((0..scenario.servers.len()).map(server));
         let faults = link_faults(scenario, start, front, server, Participant::Gateway);
         let mut world = World {
-            step: Step { number: 0, time: START },
+            step: Step { number: 0, time: START_TIME },
             policy_kind,
             mutation,
             fronts,
             servers: (0..scenario.servers.len()).map(emulated_server).collect(),
-            callers: Callers::new(scenario.clone(), setup::front_addresses(scenario), start, START),
+            callers: Callers::new(scenario.clone(), setup::front_addresses(scenario), start, START_TIME),
             network: Network::new(scenario.network, faults, scenario.seed),
             alarms: Alarms::default(),
             script: script::script(scenario, start),
-            addresses: parties.chain([Participant::Gateway]).map(|party| (address(party), party)).collect(),
+            addresses: participants
+                .chain([Participant::Gateway])
+                .map(|participant| (address(participant), participant))
+                .collect(),
             rng: Pcg64Mcg::seed_from_u64(scenario.seed ^ FRONT_SEED_SALT),
             recorder: Recorder::new(options),
             finished: false,
             scenario: scenario.clone(),
         };
-        world.start_parties()?;
+        world.start_participants()?;
         Ok(world)
     }
 
-    fn start_parties(&mut self) -> Result<(), InvariantError> {
-        self.recorder.mark(self.step, &format!("start {}", (START + LEAD).micros()));
+    fn start_participants(&mut self) -> Result<(), InvariantError> {
+        self.recorder.mark(self.step, &format!("start {}", (START_TIME + SCENARIO_DELAY).micros()));
         for fault in self.scenario.faults.iter().filter(|fault| fault.kind == FaultKind::ClockFast) {
             for &target in &fault.targets {
                 self.fronts[target].clock.drift = fault.magnitude / 1e6;
@@ -135,10 +139,10 @@
             self.start_front(index);
         }
         let servers = (0..self.servers.len()).map(server);
-        servers.chain([Participant::Gateway]).try_for_each(|party| self.process(party))
+        servers.chain([Participant::Gateway]).try_for_each(|participant| self.process(participant))
     }
 
-    /// Does the next thing; none where the simulation is over.
+    /// Handles the next event; returns `None` if the simulation is finished.
     pub fn step(&mut self) -> Option<Result<(), Violation>> {
         if self.finished {
             return None;
@@ -154,54 +158,56 @@
         } else if let Some(Datagram { from, to, bytes }) = self.network.poll_arrival(self.step.time) {
             self.deliver(from, to, bytes)
         } else {
-            let party = self.alarms.pop()?;
-            self.recorder.event(self.step, "turn", party, b"");
-            self.process(party)
+            let participant = self.alarms.pop()?;
+            self.recorder.event(self.step, "turn", participant, b"");
+            self.process(participant)
         };
         Some(result.map_err(|error| self.violation(error)))
     }
 
-    /// How many steps were done.
+    /// Returns the number of simulated steps.
     pub fn step_count(&self) -> u64 {
         self.step.number
     }
 
-    /// Seconds since everything came up.
+    /// Returns the simulated seconds since the participants started.
     pub fn elapsed_s(&self) -> f64 {
-        self.step.time.since(START).ratio(Span::from_secs(1))
+        self.step.time.since(START_TIME).ratio(Span::from_secs(1))
     }
 
-    /// The checksum of all events so far.
+    /// Returns the checksum over all events so far.
     pub fn checksum(&self) -> u32 {
         self.recorder.checksum()
     }
 
-    /// The captured datagrams.
+    /// Returns the captured datagrams, in capture order.
     pub fn datagrams(&self) -> &[CapturedDatagram] {
         &self.recorder.datagrams
     }
 
-    /// The step of the first captured datagram at or after a time of the scenario; the last step where there is none.
+    /// Returns the step of the first datagram captured at or after `time`, relative to the start of the scenario; the
+    /// last step if there is none.
     pub fn step_at(&self, time: Moment) -> u64 {
-        let time = START + LEAD + time.since(Moment::START);
+        let time = START_TIME + SCENARIO_DELAY + time.since(Moment::START);
         self.recorder.step_at(time).unwrap_or(self.step.number)
     }
 
-    /// Ends the simulation; its trace and the fronts' event logs, where they were recorded.
+    /// Returns the trace and the fronts' event logs; each is empty if it was not recorded.
     pub fn into_recordings(self) -> (String, Vec<Log>) {
         let logs = self.fronts.into_iter().flat_map(FrontMachine::into_logs).collect();
         (self.recorder.trace, logs)
     }
 
-    /// At the end of a scenario every call that is established at a server is known to a front or a caller.
+    /// Checks, at the end of a scenario, that a front or caller has a session for every call that is established at a
+    /// server.
     ///
     /// # Errors
     ///
-    /// The first call that nobody knows.
+    /// Returns the first call without a session.
     pub fn check_unclaimed_calls(&self) -> Result<(), Violation> {
         for (index, server) in self.servers.iter().enumerate() {
             let mut calls = server.iter().flat_map(Server::calls);
-            let unclaimed = calls.find(|(from, call)| !self.is_excused(*from) && !self.is_claimed(call));
+            let unclaimed = calls.find(|(from, call)| !self.may_leave_calls(*from) && !self.is_claimed(call));
             if let Some((_, call)) = unclaimed {
                 let cause = ViolationCause::UnclaimedCall { server: server_name(index) };
                 return Err(self.violation(InvariantError { subject: call.to_owned(), cause }));
@@ -210,14 +216,15 @@
         Ok(())
     }
 
-    /// Whether a front may leave calls behind. What a killed front had set up without telling the caller is nobody's
-    /// until its servers can be asked; what a front still asks to have released is in hand.
-    fn is_excused(&self, listen: SocketAddr) -> bool {
-        let releases = |front: &FrontMachine| {
+    /// Returns whether calls from the front at `listen` may be unclaimed: a killed front loses the calls it had set up
+    /// before it answered the caller, because servers can't be queried for their calls; and a front may still be
+    /// retransmitting a release.
+    fn may_leave_calls(&self, listen: SocketAddr) -> bool {
+        let is_releasing = |front: &FrontMachine| {
             front.process.as_ref().is_some_and(|process| process.engine.unconfirmed_releases() > 0)
         };
         let mut fronts = self.fronts.iter().filter(|front| front.config.listen == listen);
-        fronts.any(|front| front.incarnations > 1 || releases(front))
+        fronts.any(|front| front.incarnations > 1 || is_releasing(front))
     }
 
     fn is_claimed(&self, call: &str) -> bool {
@@ -230,7 +237,7 @@
     fn violation(&self, error: InvariantError) -> Violation {
         Violation {
             step: self.step.number,
-            time: Moment::START + self.step.time.since(START + LEAD),
+            time: Moment::START + self.step.time.since(START_TIME + SCENARIO_DELAY),
             subject: error.subject,
             cause: error.cause,
         }
@@ -260,12 +267,13 @@
         self.process(to)
     }
 
-    /// Lets a party do what is due, carries what it sends, and sets its alarm.
-    fn process(&mut self, party: Participant) -> Result<(), InvariantError> {
+    /// Runs an iteration of a participant's event loop, puts the datagrams that it sends on the network, and sets its
+    /// alarm.
+    fn process(&mut self, participant: Participant) -> Result<(), InvariantError> {
         let now = self.step.time;
         let mut datagrams = Vec::new();
         let mut result = Ok(());
-        let timeout = match party {
+        let timeout = match participant {
             Participant::Front(index) => {
                 let index = usize::from(index);
                 result = self.fronts[index].process(now);
@@ -280,10 +288,10 @@
         };
         for (receiver, bytes) in datagrams {
             let Some(&to) = self.addresses.get(&receiver) else { continue };
-            self.recorder.sent(self.step, party, to, &bytes);
-            self.network.send(now, party, to, &bytes);
+            self.recorder.sent(self.step, participant, to, &bytes);
+            self.network.send(now, participant, to, &bytes);
         }
-        self.alarms.set(party, timeout);
+        self.alarms.set(participant, timeout);
         result
     }
 
@@ -310,8 +318,8 @@
     fn run_scripted(&mut self, event: ScriptedEvent) -> Result<(), InvariantError> {
         self.recorder.event(self.step, &event.to_string(), Participant::Rig, b"");
         match event {
-            ScriptedEvent::KillProcess(party) => self.kill_process(party),
-            ScriptedEvent::StartProcess(party) => return self.start_process(party),
+            ScriptedEvent::KillProcess(participant) => self.kill_process(participant),
+            ScriptedEvent::StartProcess(participant) => return self.start_process(participant),
             ScriptedEvent::StallFront(index) => {
                 self.mark("halt", front(index));
                 self.fronts[index].stalled = self.fronts[index].process.is_some();
@@ -336,19 +344,19 @@
         Ok(())
     }
 
-    fn kill_process(&mut self, party: Participant) {
-        self.mark("kill", party);
-        match party {
+    fn kill_process(&mut self, participant: Participant) {
+        self.mark("kill", participant);
+        match participant {
             Participant::Front(index) => self.fronts[usize::from(index)].kill(&mut self.rng),
             Participant::Server(index) => self.servers[usize::from(index)] = None,
             _ => {}
         }
-        self.alarms.set(party, None);
+        self.alarms.set(participant, None);
     }
 
-    fn start_process(&mut self, party: Participant) -> Result<(), InvariantError> {
-        self.mark("begin", party);
-        match party {
+    fn start_process(&mut self, participant: Participant) -> Result<(), InvariantError> {
+        self.mark("begin", participant);
+        match participant {
             Participant::Front(index) => self.start_front(usize::from(index)),
             Participant::Server(index) => {
                 let index = usize::from(index);
@@ -357,16 +365,17 @@
             }
             _ => {}
         }
-        self.process(party)
+        self.process(participant)
     }
 
-    /// Tells the auditor what is done to a process.
-    fn mark(&mut self, action: &str, party: Participant) {
-        self.recorder.mark(self.step, &format!("{action} {}", party.capture_address()));
+    /// Records for the auditor that `action` was applied to a process.
+    fn mark(&mut self, action: &str, participant: Participant) {
+        self.recorder.mark(self.step, &format!("{action} {}", participant.capture_address()));
     }
 }
 
-/// Lets an emulated party do what is due; when it wants to be called again.
+/// Runs an iteration of an emulated participant's event loop and collects the datagrams that it sends. Returns the
+/// time of its next timeout.
 fn process_peer(
     peer: &mut impl Peer,
     now: Moment,
--- a/crates/ochrelead-sim/src/world/alarms.rs
+++ b/crates/ochrelead-sim/src/world/alarms.rs
@@ -1,38 +1,38 @@
-//! When each party wants to be called.
+//! The next timeout of each participant.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use ochrelead_core::time::Moment;
 use ochrelead_scenario::participant::Participant;
 
-/// One alarm at the most for each party.
+/// A timer queue with at most one alarm per participant.
 #[derive(Default)]
 pub(super) struct Alarms {
     queue: BTreeSet<(Moment, Participant)>,
-    by_party: BTreeMap<Participant, Moment>,
+    by_participant: BTreeMap<Participant, Moment>,
 }
 
 impl Alarms {
-    /// The time of the first.
+    /// Returns the time of the earliest alarm.
     pub(super) fn next_time(&self) -> Option<Moment> {
         self.queue.first().map(|(time, _)| *time)
     }
 
-    /// Takes the first.
+    /// Removes the earliest alarm and returns its participant.
     pub(super) fn pop(&mut self) -> Option<Participant> {
-        let (_, party) = self.queue.pop_first()?;
-        self.by_party.remove(&party);
-        Some(party)
+        let (_, participant) = self.queue.pop_first()?;
+        self.by_participant.remove(&participant);
+        Some(participant)
     }
 
-    /// Replaces a party's alarm.
-    pub(super) fn set(&mut self, party: Participant, time: Option<Moment>) {
-        if let Some(former) = self.by_party.remove(&party) {
-            self.queue.remove(&(former, party));
+    /// Replaces a participant's alarm; `None` removes it.
+    pub(super) fn set(&mut self, participant: Participant, time: Option<Moment>) {
+        if let Some(former) = self.by_participant.remove(&participant) {
+            self.queue.remove(&(former, participant));
         }
         if let Some(time) = time {
-            self.by_party.insert(party, time);
-            self.queue.insert((time, party));
+            self.by_participant.insert(participant, time);
+            self.queue.insert((time, participant));
         }
     }
 }
--- a/crates/ochrelead-sim/src/world/recorder.rs
+++ b/crates/ochrelead-sim/src/world/recorder.rs
@@ -1,4 +1,4 @@
-//! What is kept of a simulation: the captured datagrams, the trace, and a checksum of all events.
+//! Records a simulation: the captured datagrams, the trace, and a checksum over all events.
 
 use std::fmt::Write;
 
@@ -6,22 +6,22 @@
 use ochrelead_scenario::capture::CapturedDatagram;
 use ochrelead_scenario::participant::Participant;
 
-use super::{RecordingOptions, START};
+use super::{RecordingOptions, START_TIME};
 
 /// One step of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Step {
-    /// Counted from 1; 0 before the first.
+    /// The number of the step, from 1; 0 before the first step.
     pub(super) number: u64,
-    /// When it happens.
+    /// Simulated time of the step.
     pub(super) time: Moment,
 }
 
-/// Keeps what the options ask for. The checksum is of all events, whether they are kept or not.
+/// Records what the options select. The checksum always covers all events.
 pub(super) struct Recorder {
     options: RecordingOptions,
     pub(super) datagrams: Vec<CapturedDatagram>,
-    /// The step of each datagram.
+    /// The step number of each captured datagram.
     steps: Vec<u64>,
     pub(super) trace: String,
     checksum: crc32fast::Hasher,
@@ -38,24 +38,28 @@
         }
     }
 
-    /// An event: its name in the trace, the party concerned, and the datagram if it is about one.
-    pub(super) fn event(&mut self, step: Step, name: &str, party: Participant, bytes: &[u8]) {
-        let party = format!("{party:?}");
+    /// Adds an event to the checksum and the trace: its name, the participant, and the datagram (empty if none).
+    pub(super) fn event(&mut self, step: Step, name: &str, participant: Participant, bytes: &[u8]) {
+        let participant = format!("{participant:?}");
         self.checksum.update(&step.time.micros().to_le_bytes());
         self.checksum.update(name.as_bytes());
-        self.checksum.update(party.as_bytes());
+        self.checksum.update(participant.as_bytes());
         self.checksum.update(bytes);
         if self.options.trace {
-            let us = step.time.since(START).micros();
+            let us = step.time.since(START_TIME).micros();
             let text = String::from_utf8_lossy(bytes);
             let first_line = text.lines().next().unwrap_or("");
-            let sum = crc32fast::hash(bytes);
-            // Writing into a string does not fail.
-            let _ = writeln!(self.trace, "{} {us} {name} {party} {sum:08x} {first_line}", step.number);
+            let datagram_checksum = crc32fast::hash(bytes);
+            // Writing to a string can't fail.
+            let _ = writeln!(
+                self.trace,
+                "{} {us} {name} {participant} {datagram_checksum:08x} {first_line}",
+                step.number
+            );
         }
     }
 
-    /// A datagram leaves a party.
+    /// Records a datagram that a participant sends.
     pub(super) fn sent(&mut self, step: Step, from: Participant, to: Participant, bytes: &[u8]) {
         self.event(step, "leaves", from, bytes);
         self.capture(
@@ -64,7 +68,7 @@
         );
     }
 
-    /// A datagram reaches a party.
+    /// Records a datagram that is delivered to a participant.
     pub(super) fn received(&mut self, step: Step, from: Participant, to: Participant, bytes: &[u8]) {
         self.event(step, "reaches", to, bytes);
         self.capture(
@@ -73,7 +77,7 @@
         );
     }
 
-    /// A mark for the auditor among the captured datagrams.
+    /// Inserts a mark for the auditor into the captured datagrams.
     pub(super) fn mark(&mut self, step: Step, text: &str) {
         let (from, to, bytes) = (Participant::Rig, Participant::Rig, text.as_bytes().to_vec());
         self.capture(|| CapturedDatagram { time: step.time, from, to, delivered: false, bytes }, step);
@@ -86,12 +90,12 @@
         }
     }
 
-    /// No datagram is captured any more.
+    /// Stops the capture of datagrams. Trace and checksum continue.
     pub(super) fn stop_capture(&mut self) {
         self.options.datagrams = false;
     }
 
-    /// The step of the first datagram at or after a time.
+    /// Returns the step of the first datagram captured at or after `time`.
     pub(super) fn step_at(&self, time: Moment) -> Option<u64> {
         let index = self.datagrams.partition_point(|datagram| datagram.time < time);
         self.steps.get(index).copied()
--- a/crates/ochrelead-sim/src/world/script.rs
+++ b/crates/ochrelead-sim/src/world/script.rs
@@ -1,4 +1,4 @@
-//! What a scenario does to machines, and when.
+//! The timed events by which a scenario's faults act on machines and processes.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -11,11 +11,12 @@
 
 use super::{front, server};
 
-/// After its length a scenario runs on until the last sessions have their answers. Then commands that nobody answers
-/// are given up, and what is left must be nobody's.
-const TAIL: Span = Span::from_secs(4);
+/// Time after the scenario's end in which the last sessions receive their final answers. After that,
+/// [`max_release_time`] lets unanswered commands time out; any call that is then still established without a session is a
+/// violation.
+const ANSWER_GRACE: Span = Span::from_secs(4);
 
-/// A scripted event. Fronts are named by their index.
+/// A scripted event. Fronts are identified by index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ScriptedEvent {
     KillProcess(Participant),
@@ -30,11 +31,12 @@
 }
 
 impl fmt::Display for ScriptedEvent {
-    /// Its name in traces. It is part of the checksum, and stays as it is so that versions can be compared.
+    /// Writes the name that is used in traces. It is part of the checksum, so it must stay the same for checksums to be
+    /// comparable across versions.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ScriptedEvent::KillProcess(party) => write!(f, "Kill({party:?})"),
-            ScriptedEvent::StartProcess(party) => write!(f, "Start({party:?})"),
+            ScriptedEvent::KillProcess(participant) => write!(f, "Kill({participant:?})"),
+            ScriptedEvent::StartProcess(participant) => write!(f, "Start({participant:?})"),
             ScriptedEvent::StallFront(front) => write!(f, "Halt({front})"),
             ScriptedEvent::ResumeFront(front) => write!(f, "Resume({front})"),
             ScriptedEvent::SetClock { front, seconds } => write!(f, "Set({front}, {seconds:?})"),
@@ -46,12 +48,12 @@
     }
 }
 
-/// The events of a scenario that starts then, in the order of their times.
+/// Returns the events of a scenario that starts at `start`, ordered by time.
 pub(super) fn script(scenario: &Scenario, start: Moment) -> VecDeque<(Moment, ScriptedEvent)> {
-    let end = start + scenario.duration + TAIL;
+    let end = start + scenario.duration + ANSWER_GRACE;
     let mut script = vec![
         (end, ScriptedEvent::StopCapture),
-        (end + last_retransmissions(&scenario.front.transactions), ScriptedEvent::Finish),
+        (end + max_release_time(&scenario.front.transactions), ScriptedEvent::Finish),
     ];
     for fault in &scenario.faults {
         let times = [start + fault.start, start + fault.start + fault.duration];
@@ -64,9 +66,12 @@
     script.into()
 }
 
-/// What begins a fault at one target, and what ends it. Faults of network, servers and callers are not scripted here.
+/// Returns the events that begin and end a fault at one target. Faults that the emulated network, servers and callers
+/// apply themselves have no scripted events.
 fn fault_events(fault: &InjectedFault, target: usize) -> [Option<ScriptedEvent>; 2] {
-    let restart = |party| [Some(ScriptedEvent::KillProcess(party)), Some(ScriptedEvent::StartProcess(party))];
+    let restart = |participant| {
+        [Some(ScriptedEvent::KillProcess(participant)), Some(ScriptedEvent::StartProcess(participant))]
+    };
     let set_clock = |seconds| [Some(ScriptedEvent::SetClock { front: target, seconds }), None];
     match fault.kind {
         FaultKind::FrontKilled => restart(front(target)),
@@ -86,7 +91,8 @@
     }
 }
 
-/// After this long nobody owes anybody anything: a release is asked for three times.
-fn last_retransmissions(transactions: &TransactionConfig) -> Span {
+/// Returns the time after which no transaction is pending: a release is attempted up to three times, each until its
+/// response time-out.
+fn max_release_time(transactions: &TransactionConfig) -> Span {
     transactions.response_timeout * 3 + transactions.max_rto * 2 + Span::from_secs(1)
 }
--- a/crates/ochrelead-sim/src/world/setup.rs
+++ b/crates/ochrelead-sim/src/world/setup.rs
@@ -1,4 +1,4 @@
-//! What a scenario's parties are made of.
+//! Builds the participants of a scenario.
 
 use std::net::SocketAddr;
 
@@ -13,15 +13,15 @@
 use ochrelead_scenario::participant::server_name;
 use ochrelead_scenario::policy::PolicyKind;
 
-use super::{LEAD, START, address, front, server};
+use super::{SCENARIO_DELAY, START_TIME, address, front, server};
 use crate::error::InvalidDocument;
 
-/// The addresses of all fronts.
+/// Returns the addresses of all fronts, by index.
 pub(super) fn front_addresses(scenario: &Scenario) -> Vec<SocketAddr> {
     (0..scenario.fronts).map(|index| address(front(index))).collect()
 }
 
-/// A front's configuration, as its file would have it.
+/// Returns a front's configuration, parsed from the text of a configuration file.
 pub(super) fn front_config(scenario: &Scenario, index: usize) -> Result<FrontConfig, InvalidDocument> {
     let servers = (0..scenario.servers.len()).map(|number| schema::Server {
         name: Some(server_name(number)),
@@ -40,7 +40,7 @@
     front_config::parse("front", &text).map_err(InvalidDocument::from)
 }
 
-/// The policy of a front whose clock shows `now`.
+/// Creates the call policy of a front whose clock shows `now`.
 pub(super) fn call_policy(
     policy_kind: PolicyKind,
     config: &FrontConfig,
@@ -56,14 +56,14 @@
     }
 }
 
-/// An emulated server whose process starts now, anew or for the first time.
+/// Creates an emulated server whose process starts at `now`; a restarted server is cold.
 pub(super) fn emulated_server(scenario: &Scenario, index: usize, now: Moment, restarted: bool) -> Server {
     let config = ServerConfig {
         scenario,
         index,
         name: server_name(index),
         fronts: front_addresses(scenario),
-        scenario_start: START + LEAD,
+        scenario_start: START_TIME + SCENARIO_DELAY,
         is_cold: restarted,
     };
     Server::new(config, now)
--- a/crates/ochrelead-sim/tests/console.rs
+++ b/crates/ochrelead-sim/tests/console.rs
@@ -10,7 +10,7 @@
 use ochrelead_event_log::reader::Record;
 use ochrelead_scenario::policy::PolicyKind;
 use ochrelead_sim::run::run;
-use ochrelead_sim::world::{LEAD, RecordingOptions, START};
+use ochrelead_sim::world::{RecordingOptions, SCENARIO_DELAY, START_TIME};
 use test_case::test_case;
 
 /// A front hands its records over so often, and the console looks at the files so often.
@@ -20,7 +20,7 @@
 /// Seconds from the silence's beginning until the console shows it; none where it does not in time.
 fn shown_after(scenario: &Scenario) -> Option<f64> {
     let fault = scenario.faults.iter().find(|fault| fault.kind == FaultKind::Silent).unwrap();
-    let begins = START + LEAD + fault.start;
+    let begins = START_TIME + SCENARIO_DELAY + fault.start;
     let name = ochrelead_scenario::participant::server_name(fault.targets[0]);
     let options = RecordingOptions { event_logs: true, ..RecordingOptions::default() };
     let outcome = run(scenario, PolicyKind::Controller, options).unwrap();
@@ -30,7 +30,7 @@
         let flushed = record.event.at_us.div_ceil(FLUSH_INTERVAL.micros()) * FLUSH_INTERVAL.micros();
         arrive.entry(flushed).or_default().push(record);
     }
-    let (mut fleet, mut now, mut last) = (FleetView::default(), START, START);
+    let (mut fleet, mut now, mut last) = (FleetView::default(), START_TIME, START_TIME);
     while now < begins + fault.duration {
         now = now + POLL_INTERVAL;
         let later = arrive.split_off(&(now.micros() + 1));
--- a/crates/ochrelead-sim/tests/replay.rs
+++ b/crates/ochrelead-sim/tests/replay.rs
@@ -63,7 +63,7 @@
 }
 
 #[test_case("x..y", "invalid value"; "no seeds")]
-#[test_case("5", "two seeds with .. between"; "one seed")]
+#[test_case("5", "expected two seeds separated by .., such as 0..100"; "one seed")]
 fn a_range_that_is_none(seeds: &str, message: &str) {
     let run = Command::new(env!("CARGO_BIN_EXE_ochrelead-sim"))
         .args(["explore", "--seeds", seeds])
