--- a/crates/ochrelead-verify/src/soak/coordinator.rs
+++ b/crates/ochrelead-verify/src/soak/coordinator.rs
@@ -60,7 +60,7 @@
     pub repeat_events: bool,
     /// Each line is written in three pieces.
     pub in_pieces: bool,
-    /// The number of an event is sent [`NUMBER_LEAD`] before the event.
+    /// The number of an event is sent `NUMBER_LEAD` before the event.
     pub number_first: bool,
 }
 
