--- a/crates/ochrelead-config/build.rs
+++ b/crates/ochrelead-config/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schemas into Rust types, and into descriptors for the text format. Does not need protoc.
+//! Compiles the schemas into Rust types, and into descriptors for the text format; no `protoc` is needed.
 
 use std::env;
 use std::error::Error;
--- a/crates/ochrelead-event-log/build.rs
+++ b/crates/ochrelead-event-log/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema of the event log without protoc.
+//! Compiles the schema of the event log into Rust types, and into descriptors for reflection; no `protoc` is needed.
 
 use std::env;
 use std::error::Error;
--- a/crates/ochrelead-lease/build.rs
+++ b/crates/ochrelead-lease/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema of the messages; no `protoc` is needed.
+//! Compiles the schema of the lease messages and of the stored voter state; no `protoc` is needed.
 
 use std::error::Error;
 
--- a/crates/ochrelead-zone/build.rs
+++ b/crates/ochrelead-zone/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema of the words. No protoc is needed.
+//! Compiles the schema of the zone messages; no `protoc` is needed.
 
 use std::error::Error;
 
--- a/scripts/behaviour.sh
+++ b/scripts/behaviour.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Prints what the deterministic engines do, without the times that runs take: two programs that behave alike print the same.
-# Usage: scripts/behaviour.sh [PROGRAMS] >lines, then diff of two such files; PROGRAMS is a folder, target/release by default.
-# With LBSIM and SITE the quick score of the operators' simulated bench is printed too, from this checkout.
+# Prints the results of the deterministic engines without run times, so that programs with equal behaviour print the same.
+# Usage: scripts/behaviour.sh [PROGRAMS] >FILE, then diff two such files; PROGRAMS is a folder, by default target/release.
+# If LBSIM and SITE are set, also prints the quick score of the operators' simulated bench, run from this checkout.
 set -uo pipefail
 if [ $# -gt 1 ]; then
     sed -n '2,4s/^# //p' "$0" >&2
--- a/scripts/play_line.py
+++ b/scripts/play_line.py
@@ -1,5 +1,6 @@
 #!/usr/bin/env python3
-"""One line for a play of a small day; exit 1 where it gave no result, a rule was broken or a front crashed."""
+"""Prints one line for a run of a small scenario. Exits with 1 if the run has no result, if a rule was broken, or if the
+report names a fault (such as a crash of a front) or a gate."""
 import json
 import re
 import sys
--- a/scripts/plays.sh
+++ b/scripts/plays.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Plays small fleet days of the operators' bench one after another and prints one line a play:
-#   day  seed  G of top  verdict  lost  late  ready
+# Runs small fleet scenarios of the operators' bench one after another, and prints one line per run:
+#   scenario  seed  G of its maximum  share served  verdict  lost  late  longest time until ready
 # Usage: BENCH=path/to/lbreal scripts/plays.sh SITE "KIND ..." "SEED ..." [more options of the bench]
-# Fails if a play gives no result or breaks a rule; what each printed stays in $OUT (target/plays).
+# Fails if a run has no result, breaks a rule or reports a fault; the output of each run is kept in $OUT (target/plays).
 set -uo pipefail
 if [ $# -lt 3 ] || [ ! -x "${BENCH:-}" ]; then
     sed -n '2,6s/^# //p' "$0" >&2
